--- a/benchmarks/fleet_cost.py
+++ b/benchmarks/fleet_cost.py
@@ -26,53 +26,53 @@
 def decision_us(hosts: int) -> float:
     """CPU of the module for a served request, from its arrival to its end; the best of some rounds."""
 
-    from tests.front import SETTINGS, Front, entry  # noqa: PLC0415
+    from tests.router_harness import SETTINGS, RouterHarness, make_endpoint  # noqa: PLC0415
     from violetstack.policy_api import AttemptStatus, TimerFired  # noqa: PLC0415
 
     telling = hasattr(SETTINGS, "may_tell")
     more: dict[str, Any] = {"may_tell": True} if telling else {}
     best = float("inf")
     for _ in range(ROUNDS):
-        entries = [entry(f"s{n}", n % 2, cell=n // 5) for n in range(hosts)]
-        front = Front(*entries, load_report_fields=("inflight", "x0"), dispatcher_count=40, **more)
+        entries = [make_endpoint(f"s{n}", n % 2, cell=n // 5) for n in range(hosts)]
+        harness = RouterHarness(*entries, load_report_fields=("inflight", "x0"), dispatcher_count=40, **more)
         began = time.process_time()
         for n in range(REQUESTS):
-            request = front.ask(
+            request = harness.submit(
                 after=700.0, prefix_id=f"p{n % 30}", prefix_tokens=1000.0, session=f"s{n % 90}"
             )
-            front.end(request, AttemptStatus.PREFILLED, load_report=(3.0, 0.4))
-            front.begin(request)
-            front.end(request, AttemptStatus.OK, after=200.0, load_report=(3.0, 0.4))
-            front.feed(TimerFired("tell"), after=1_100.0)
+            harness.finish_attempt(request, AttemptStatus.PREFILLED, load_report=(3.0, 0.4))
+            harness.start_stream(request)
+            harness.finish_attempt(request, AttemptStatus.OK, after=200.0, load_report=(3.0, 0.4))
+            harness.handle(TimerFired("tell"), after=1_100.0)
         best = min(best, (time.process_time() - began) / REQUESTS * 1e6)
     return best
 
 
 def datagrams_us() -> dict[str, float]:
     """CPU of the module for one datagram at 100 hosts and 200 fronts: heard, with three entries, and told."""
-    from tests.front import Front, entry  # noqa: PLC0415
+    from tests.router_harness import RouterHarness, make_endpoint  # noqa: PLC0415
     from violetstack.gossip.codec import encode_datagram, endpoint_tag  # noqa: PLC0415
     from violetstack.policy_api import GossipReceived, TimerFired  # noqa: PLC0415
 
-    entries = [entry(f"s{n}", n % 2, cell=n // 5) for n in range(100)]
+    entries = [make_endpoint(f"s{n}", n % 2, cell=n // 5) for n in range(100)]
     heard = told = float("inf")
     for _ in range(ROUNDS):
-        front = Front(*entries, dispatcher_count=200, gossip_allowed=True)
+        harness = RouterHarness(*entries, dispatcher_count=200, gossip_allowed=True)
         rows = [
             encode_datagram([(endpoint_tag(f"s{(n * k) % 100}"), 40 + (n + k) % 90) for k in (1, 7, 31)])
             for n in range(REQUESTS)
         ]
         began = time.process_time()
         for n, row in enumerate(rows):
-            front.feed(GossipReceived(1 + n % 199, row), after=1.0)
+            harness.handle(GossipReceived(1 + n % 199, row), after=1.0)
         heard = min(heard, (time.process_time() - began) / REQUESTS * 1e6)
         spent = 0.0
         for _ in range(REQUESTS):
-            front.ask(after=30.0, expires_in_ms=60.0)
+            harness.submit(after=30.0, expires_in_ms=60.0)
             began = time.process_time()
-            front.feed(TimerFired("tell"), after=25.0)
+            harness.handle(TimerFired("tell"), after=25.0)
             spent += time.process_time() - began
-            front.feed(TimerFired(f"d:q{front.count}"), after=20.0)
+            harness.handle(TimerFired(f"d:q{harness.request_count}"), after=20.0)
         told = min(told, spent / REQUESTS * 1e6)
     return {"heard": heard, "told": told}
 
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -18,7 +18,7 @@
 
 from msgspec.structs import replace
 
-from tests.front import SETTINGS, entry
+from tests.router_harness import SETTINGS, make_endpoint
 from violetstack.core.dispatcher import Dispatcher
 from violetstack.core.records import Attempt, ReleaseCall, ReservationCall
 from violetstack.load_shedding.headroom import headroom
@@ -319,8 +319,8 @@
             over_quota_weight=0.05,
             max_retry_after_ms=1000.0,
         )
-        entries = [entry(f"r{n}", 0) for n in range(readers)]
-        entries += [entry(f"w{n}", 1) for n in range(writers)]
+        entries = [make_endpoint(f"r{n}", 0) for n in range(readers)]
+        entries += [make_endpoint(f"w{n}", 1) for n in range(writers)]
         self.hosts: dict[str, Reader | Writer] = {
             e.server: Reader(self.clock) if e.kind == 0 else Writer(self.clock) for e in entries
         }
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable
 
-from tests.front import SETTINGS
+from tests.router_harness import SETTINGS
 from violetstack.core.ports import Origin
 from violetstack.policy_api import Endpoint, EndpointState, EndpointUpdate, Request, UpdateScope
 from violetstack.routing.conditions import All, Among, Between, Condition, Not
--- a/tests/levels.py
+++ b/tests/levels.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.front import SETTINGS
+from tests.router_harness import SETTINGS
 from violetstack.load_shedding.journal import (
     JournalRecord,
     encode_record,
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.front import READERS, SETTINGS, WRITERS
+from tests.router_harness import DECODE_HOSTS, PREFILL_HOSTS, SETTINGS
 from tests.test_core import RecordingPorts
 from tests.test_stories import pair, play
 from violetstack.admin.api import MAX_BODY_BYTES, AdminConnection
@@ -185,7 +185,7 @@
     now = 1000.0
     router = Router(SETTINGS)
     core = Dispatcher(SETTINGS, router, ports, 250.0)
-    core.update_endpoints(now, EndpointUpdate(UpdateScope.CACHED, READERS + WRITERS, 1))
+    core.update_endpoints(now, EndpointUpdate(UpdateScope.CACHED, PREFILL_HOSTS + DECODE_HOSTS, 1))
     accepted: Counter[int] = Counter()
     disconnected = 0
     written = 0
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -11,7 +11,7 @@
 import trio.testing
 
 from tests.crossings import LIMITS, SlowConnects, send_request
-from tests.front import SETTINGS as POLICY_SETTINGS
+from tests.router_harness import SETTINGS as POLICY_SETTINGS
 from tests.steady import until
 from tests.test_chat import with_idempotency_store
 from tests.test_core import CoreHarness
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -15,7 +15,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.front import entry
+from tests.router_harness import make_endpoint
 from violetstack.net.upstream import connection_pool
 from violetstack.net.upstream.connection import LocalFaultError, NotConnectedError, UpstreamConnection
 from violetstack.net.upstream.connection_pool import LOCAL_RETRY_S, ConnectionPool, UpstreamHost
@@ -113,7 +113,7 @@
     """The error ended the process, with every request in flight."""
 
     async def story(harness: PoolHarness) -> None:
-        update = EndpointUpdate(UpdateScope.DELTA, (entry("w2", 1),), 2)
+        update = EndpointUpdate(UpdateScope.DELTA, (make_endpoint("w2", 1),), 2)
         harness.pool.update(update, {"w2": address})
         with pytest.raises(NotConnectedError):
             await harness.pool.acquire("w2", lambda: True)
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from tests.front import READERS, WRITERS
+from tests.router_harness import DECODE_HOSTS, PREFILL_HOSTS
 from violetstack.admin.cordons import MAX_CORDONS, Cordons
 from violetstack.admin.errors import TooManyCordonsError, UnknownEndpointError
 from violetstack.policy_api import (
@@ -17,7 +17,7 @@
     UpdateScope,
 )
 
-LISTED = READERS + WRITERS
+LISTED = PREFILL_HOSTS + DECODE_HOSTS
 IDS = [entry.server for entry in LISTED]
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,7 +8,7 @@
 import pytest
 from msgspec.structs import replace
 
-from tests.front import READERS, SETTINGS, WRITERS, entry
+from tests.router_harness import DECODE_HOSTS, PREFILL_HOSTS, SETTINGS, make_endpoint
 from violetstack.core.attempts import MIN_CONNECT_TIMEOUT_MS
 from violetstack.core.dispatcher import Dispatcher
 from violetstack.core.errors import DuplicateRequestError
@@ -121,7 +121,9 @@
         self.now = 1000.0
         self.settings = replace(SETTINGS, **changes)
         self.core = Dispatcher(self.settings, self.ports, self.ports, 250.0)
-        self.core.update_endpoints(self.now, EndpointUpdate(UpdateScope.CACHED, READERS + WRITERS, 1))
+        self.core.update_endpoints(
+            self.now, EndpointUpdate(UpdateScope.CACHED, PREFILL_HOSTS + DECODE_HOSTS, 1)
+        )
         self.request = self.accept("q")
         self.run()
 
@@ -420,7 +422,7 @@
 def test_the_log_says_why_an_attempt_was_withheld() -> None:
     harness = CoreHarness()
     attempt = harness.send("w1")
-    draining = entry("w1", 1, state=EndpointState.DRAINING)
+    draining = make_endpoint("w1", 1, state=EndpointState.DRAINING)
     harness.core.update_endpoints(harness.now, EndpointUpdate(UpdateScope.DELTA, (draining,), 2))
     assert not harness.core.may_send(harness.now, attempt)
     harness.core.attempt_finished(harness.now, attempt, AttemptStatus.ALREADY_FINISHED)
--- a/tests/test_endpoint_restart.py
+++ b/tests/test_endpoint_restart.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.front import Front, entry
+from tests.router_harness import RouterHarness, make_endpoint
 from violetstack.policy_api import (
     AttemptStatus,
     ReservationResult,
@@ -12,28 +12,28 @@
 )
 
 
-def reserve(front: Front) -> tuple[str, str]:
+def reserve(harness: RouterHarness) -> tuple[str, str]:
     """A request in its prefill, and the host that has confirmed a slot for it."""
-    request = front.ask()
-    prefill = front.one(SendAttempt)
-    slot = front.one(ReserveDecodeSlot)
-    front.feed(ReservationResult(request, prefill.server, 0, reserved=True))
+    request = harness.submit()
+    prefill = harness.only_action(SendAttempt)
+    slot = harness.only_action(ReserveDecodeSlot)
+    harness.handle(ReservationResult(request, prefill.server, 0, reserved=True))
     return request, slot.server
 
 
 def test_a_slot_at_a_host_that_restarted_is_not_used() -> None:
     """The decode followed its slot to the cold host, past its slow start, and was turned away there."""
-    front = Front()
-    request, host = reserve(front)
-    front.news(UpdateScope.DELTA, entry(host, 1, started_ms=front.now))
-    assert front.one(ReserveDecodeSlot).server != host
-    front.end(request, AttemptStatus.PREFILLED)
-    assert front.one(SendAttempt).server != host
+    harness = RouterHarness()
+    request, host = reserve(harness)
+    harness.update_endpoints(UpdateScope.DELTA, make_endpoint(host, 1, started_ms=harness.now))
+    assert harness.only_action(ReserveDecodeSlot).server != host
+    harness.finish_attempt(request, AttemptStatus.PREFILLED)
+    assert harness.only_action(SendAttempt).server != host
 
 
 def test_a_slot_is_used_while_its_host_goes_on() -> None:
-    front = Front()
-    request, host = reserve(front)
-    front.news(UpdateScope.DELTA, entry(host, 1))
-    front.end(request, AttemptStatus.PREFILLED)
-    assert front.one(SendAttempt).server == host
+    harness = RouterHarness()
+    request, host = reserve(harness)
+    harness.update_endpoints(UpdateScope.DELTA, make_endpoint(host, 1))
+    harness.finish_attempt(request, AttemptStatus.PREFILLED)
+    assert harness.only_action(SendAttempt).server == host
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -14,7 +14,7 @@
 import pytest
 from msgspec.structs import replace
 
-from tests.front import SAFE, SETTINGS, entry
+from tests.router_harness import IDEMPOTENT_CLASS, SETTINGS, make_endpoint
 from violetstack.gossip.codec import encode_datagram, encode_load, endpoint_tag
 from violetstack.policy.router import Router
 from violetstack.policy_api import (
@@ -41,14 +41,14 @@
 WRITERS = [f"w{n}" for n in range(4)]
 CLASSES = (
     replace(
-        SAFE,
+        IDEMPOTENT_CLASS,
         latency_objective_ms=1500.0,
         client_timeout_ms=7500.0,
         priority_weight=3.0,
         objective_ms_per_1000_tokens=40.0,
     ),
     replace(
-        SAFE,
+        IDEMPOTENT_CLASS,
         latency_objective_ms=2500.0,
         client_timeout_ms=10_000.0,
         priority_weight=2.0,
@@ -72,7 +72,7 @@
         self.answers: dict[str, str] = {}
         self.out: dict[tuple[str, int], tuple[str, float]] = {}
         self.ended: set[tuple[str, int]] = set()
-        hosts = [entry(n, 0) for n in READERS] + [entry(n, 1) for n in WRITERS]
+        hosts = [make_endpoint(n, 0) for n in READERS] + [make_endpoint(n, 1) for n in WRITERS]
         self.feed(EndpointUpdate(UpdateScope.SNAPSHOT, tuple(hosts), 1))
         mean = sum(self.length() for _ in range(2000)) / 2000
         self.gap = mean / (load * RATE * len(READERS))
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.front import SETTINGS, WRITERS, Front, entry
+from tests.router_harness import DECODE_HOSTS, SETTINGS, RouterHarness, make_endpoint
 from violetstack.gossip.codec import (
     FAILURE_CODE,
     MAX_DATAGRAM_BYTES,
@@ -36,17 +36,17 @@
 from violetstack.tracking.affinity import PREFIX_HOSTS, PrefillAffinity
 
 TIER_SIZE = 40
-PREFILL_HOSTS = tuple(entry(f"r{i}", 0) for i in range(8))
+PREFILL_HOSTS = tuple(make_endpoint(f"r{i}", 0) for i in range(8))
 
 
 class Tier:
     """Dispatchers that exchange datagrams at each tick; each delivery fails with the loss probability."""
 
     def __init__(self, size: int, loss: float = 0.0, **settings: Any) -> None:
-        self.fronts = [
-            Front(
+        self.harnesses = [
+            RouterHarness(
                 *PREFILL_HOSTS,
-                *WRITERS,
+                *DECODE_HOSTS,
                 gossip_allowed=True,
                 dispatcher_count=size,
                 dispatcher_index=n,
@@ -61,14 +61,14 @@
             self.deliver(n)
 
     def deliver(self, n: int) -> None:
-        for told in self.fronts[n].all(SendGossip):
-            for other in self.fronts:
-                if other is not self.fronts[n] and self.random.random() >= self.loss:
-                    other.feed(GossipReceived(n, told.payload))
+        for told in self.harnesses[n].actions_of(SendGossip):
+            for other in self.harnesses:
+                if other is not self.harnesses[n] and self.random.random() >= self.loss:
+                    other.handle(GossipReceived(n, told.payload))
 
     def tick(self, ms: float = 25.0) -> None:
-        for n, front in enumerate(self.fronts):
-            front.feed(TimerFired("tell"), after=ms)
+        for n, harness in enumerate(self.harnesses):
+            harness.handle(TimerFired("tell"), after=ms)
             self.deliver(n)
 
 
@@ -79,8 +79,8 @@
         tier = Tier(TIER_SIZE, loss=0.0 if with_gossip else 1.0)
         sent[with_gossip] = Counter()
         for n in range(TIER_SIZE):
-            request = tier.fronts[n].ask(prefix_id="hot", prompt_tokens=4000.0)
-            sent[with_gossip][tier.fronts[n].sends[request][0].server] += 1
+            request = tier.harnesses[n].submit(prefix_id="hot", prompt_tokens=4000.0)
+            sent[with_gossip][tier.harnesses[n].sent_attempts[request][0].server] += 1
             tier.tick()
     assert max(sent[False].values()) == TIER_SIZE  # each dispatcher alone sees an idle tier
     assert max(sent[True].values()) <= 2 * TIER_SIZE // len(PREFILL_HOSTS)
@@ -89,12 +89,12 @@
 def test_dispatchers_do_not_all_reserve_at_one_decode_host_after_one_load_report() -> None:
     reservations: Counter[str] = Counter()
     tier = Tier(TIER_SIZE, load_report_fields=("x0",))
-    for front in tier.fronts:
+    for harness in tier.harnesses:
         for name, share in (("w1", 0.30), ("w2", 0.55)):
-            front.state.load.add_report(front.endpoint(name), (share,), front.now)
-    for front in tier.fronts:
-        front.ask(max_tokens=1000.0, prompt_tokens=4000.0)
-        reservations[front.one(ReserveDecodeSlot).server] += 1
+            harness.state.load.add_report(harness.endpoint(name), (share,), harness.now)
+    for harness in tier.harnesses:
+        harness.submit(max_tokens=1000.0, prompt_tokens=4000.0)
+        reservations[harness.only_action(ReserveDecodeSlot).server] += 1
         tier.tick(1.0)
     assert 0.35 * TIER_SIZE <= reservations["w2"] <= 0.65 * TIER_SIZE
 
@@ -106,11 +106,11 @@
     tier = Tier(TIER_SIZE, loss)
     attempts = 0
     for turn in range(5 * TIER_SIZE):
-        front = tier.fronts[turn % TIER_SIZE]
-        request = front.ask(prompt_tokens=1000.0, prefix_id=f"p{turn}")
-        bad = front.sends[request][0].server == "r0"
+        harness = tier.harnesses[turn % TIER_SIZE]
+        request = harness.submit(prompt_tokens=1000.0, prefix_id=f"p{turn}")
+        bad = harness.sent_attempts[request][0].server == "r0"
         attempts += bad
-        front.end(request, status if bad else AttemptStatus.PREFILLED, after=3.0)
+        harness.finish_attempt(request, status if bad else AttemptStatus.PREFILLED, after=3.0)
         tier.tick()
     assert 1 <= attempts <= 10
 
@@ -118,75 +118,81 @@
 def test_a_fault_of_the_dispatcher_s_own_machine_costs_no_host_anything() -> None:
     """No descriptor, no port: the hosts were penalized here, and told to the tier as failed."""
     tier = Tier(TIER_SIZE)
-    front = tier.fronts[0]
-    request = front.ask(prompt_tokens=1000.0)
-    failed = front.endpoint(front.sends[request][0].server)
-    front.end(request, AttemptStatus.LOCAL_FAULT, after=3.0)
+    harness = tier.harnesses[0]
+    request = harness.submit(prompt_tokens=1000.0)
+    failed = harness.endpoint(harness.sent_attempts[request][0].server)
+    harness.finish_attempt(request, AttemptStatus.LOCAL_FAULT, after=3.0)
     tier.tick()
-    assert len(front.sends[request]) == 2  # it is retried elsewhere
-    assert front.sends[request][1].server != failed.name
+    assert len(harness.sent_attempts[request]) == 2  # it is retried elsewhere
+    assert harness.sent_attempts[request][1].server != failed.name
     assert failed.statistics.consecutive_failures == 0
-    assert all(each.endpoint(failed.name).statistics.consecutive_failures == 0 for each in tier.fronts)
+    assert all(each.endpoint(failed.name).statistics.consecutive_failures == 0 for each in tier.harnesses)
 
 
 def test_a_host_reported_as_failed_is_used_again_once_the_report_has_decayed() -> None:
     tier = Tier(TIER_SIZE)
     report = encode_datagram([(endpoint_tag("r0"), FAILURE_CODE)])
-    for front in tier.fronts:
-        front.feed(GossipReceived(99, report))
-    at_once = [front.sends[front.ask(prefix_id=f"p{n}")][0].server for n, front in enumerate(tier.fronts)]
-    for front in tier.fronts:
-        front.now += 20_000.0
-    later = [front.sends[front.ask(prefix_id=f"p{n}")][0].server for n, front in enumerate(tier.fronts)]
+    for harness in tier.harnesses:
+        harness.handle(GossipReceived(99, report))
+    at_once = [
+        harness.sent_attempts[harness.submit(prefix_id=f"p{n}")][0].server
+        for n, harness in enumerate(tier.harnesses)
+    ]
+    for harness in tier.harnesses:
+        harness.now += 20_000.0
+    later = [
+        harness.sent_attempts[harness.submit(prefix_id=f"p{n}")][0].server
+        for n, harness in enumerate(tier.harnesses)
+    ]
     assert "r0" not in at_once
     assert "r0" in later
 
 
 def test_rejections_and_timeouts_are_not_reported_as_failures() -> None:
     for status in (AttemptStatus.REJECTED, AttemptStatus.TIMEOUT):
-        front = Front(*PREFILL_HOSTS, *WRITERS, gossip_allowed=True)
-        front.end(front.ask(), status)
-        front.feed(TimerFired("tell"))
-        assert all(FAILURE_CODE not in told.payload[2::3] for told in front.all(SendGossip))
+        harness = RouterHarness(*PREFILL_HOSTS, *DECODE_HOSTS, gossip_allowed=True)
+        harness.finish_attempt(harness.submit(), status)
+        harness.handle(TimerFired("tell"))
+        assert all(FAILURE_CODE not in told.payload[2::3] for told in harness.actions_of(SendGossip))
 
 
 def test_announced_load_is_received_and_ends_with_the_request() -> None:
     tier = Tier(2)
-    first, second = tier.fronts
-    request = first.ask(prompt_tokens=4000.0)
+    first, second = tier.harnesses
+    request = first.submit(prompt_tokens=4000.0)
     tier.tick()
     state = second.state.remote_load
-    reader = first.sends[request][0].server
+    reader = first.sent_attempts[request][0].server
     own = first.endpoint(reader).prefill_cost_in_flight()
     assert state.load_at(endpoint_tag(reader)) == pytest.approx(own, rel=0.03)
-    first.end(request, AttemptStatus.PREFILLED)
-    first.begin(request)
-    first.end(request, AttemptStatus.OK)
+    first.finish_attempt(request, AttemptStatus.PREFILLED)
+    first.start_stream(request)
+    first.finish_attempt(request, AttemptStatus.OK)
     tier.tick(1_000.0)  # the end of a stream is announced later
-    assert all(state.load_at(endpoint_tag(e.server)) == 0.0 for e in PREFILL_HOSTS + WRITERS)
+    assert all(state.load_at(endpoint_tag(e.server)) == 0.0 for e in PREFILL_HOSTS + DECODE_HOSTS)
     tier.tick()
-    assert not first.all(SendGossip)  # no change, no datagram
+    assert not first.actions_of(SendGossip)  # no change, no datagram
 
 
 def test_entries_beyond_one_datagram_go_into_the_next() -> None:
     """Regression: entries past the 85th were marked as announced though they were cut off."""
-    many = tuple(entry(f"h{n}", 2) for n in range(120))
-    front = Front(*many, gossip_allowed=True, dispatcher_count=2, max_attempts=1)
+    many = tuple(make_endpoint(f"h{n}", 2) for n in range(120))
+    harness = RouterHarness(*many, gossip_allowed=True, dispatcher_count=2, max_attempts=1)
     asked = 0
-    while sum(1 for host in front.state.endpoints.by_name.values() if host.in_flight) < len(many):
-        front.ask(expires_in_ms=60_000.0)
+    while sum(1 for host in harness.state.endpoints.by_name.values() if host.in_flight) < len(many):
+        harness.submit(expires_in_ms=60_000.0)
         asked += 1
         assert asked < 2_000
     told: list[set[bytes]] = []
     for _ in range(2):
-        front.feed(TimerFired("tell"), after=25.0)
-        payload = front.one(SendGossip).payload
+        harness.handle(TimerFired("tell"), after=25.0)
+        payload = harness.only_action(SendGossip).payload
         assert len(payload) <= MAX_DATAGRAM_BYTES
         told.append({payload[at : at + 2] for at in range(0, len(payload), 3)})
     assert [len(tags) for tags in told] == [85, 35]
     assert told[0] | told[1] == {endpoint_tag(host.server) for host in many}
-    front.feed(TimerFired("tell"), after=25.0)
-    assert front.all(SendGossip) == []
+    harness.handle(TimerFired("tell"), after=25.0)
+    assert harness.actions_of(SendGossip) == []
 
 
 def test_a_crashed_peers_load_ends_with_a_reset_or_by_expiry() -> None:
@@ -220,52 +226,53 @@
 def test_a_malformed_datagram_changes_nothing_and_is_logged(payload: bytes) -> None:
     with pytest.raises(GossipDecodeError):
         GossipState(1000.0).receive(0.0, 1, payload, 9)
-    front = Front(gossip_allowed=True)
-    front.feed(GossipReceived(1, payload))
-    assert len(front.all(WriteLog)) == 1
-    front.ask()
-    front.one(SendAttempt)
+    harness = RouterHarness(gossip_allowed=True)
+    harness.handle(GossipReceived(1, payload))
+    assert len(harness.actions_of(WriteLog)) == 1
+    harness.submit()
+    harness.only_action(SendAttempt)
 
 
 def test_entries_about_unlisted_hosts_have_no_effect() -> None:
-    front = Front(gossip_allowed=True)
+    harness = RouterHarness(gossip_allowed=True)
     entries = [(endpoint_tag("stranger"), FAILURE_CODE), (endpoint_tag("other"), 3)]
-    front.feed(GossipReceived(1, encode_datagram(entries)))
-    assert front.sends[front.ask()][0].server in {"r1", "r2"}
+    harness.handle(GossipReceived(1, encode_datagram(entries)))
+    assert harness.sent_attempts[harness.submit()][0].server in {"r1", "r2"}
 
 
 def test_one_pending_decode_is_not_taken_for_congestion() -> None:
     """Regression: a dispatcher that had seen one stream start expected a long wait and refused."""
-    front = Front(gossip_allowed=True, dispatcher_count=TIER_SIZE)
-    front.feed(GossipReceived(1, encode_datagram([(endpoint_tag("r1"), 9)])))
+    harness = RouterHarness(gossip_allowed=True, dispatcher_count=TIER_SIZE)
+    harness.handle(GossipReceived(1, encode_datagram([(endpoint_tag("r1"), 9)])))
     for _ in range(4):
-        front.serve(after=2_000.0)
-    first = front.ask()
-    front.end(first, AttemptStatus.PREFILLED)
-    assert front.state.load.decode_wait_ms("", front.now + 20.0) <= 40.0
-    front.ask(after=20.0)
-    front.one(SendAttempt)
-    assert front.state.load.decode_wait_ms("", front.now + 3_000.0) > 1_000.0  # a stream that does not start
+        harness.complete_request(after=2_000.0)
+    first = harness.submit()
+    harness.finish_attempt(first, AttemptStatus.PREFILLED)
+    assert harness.state.load.decode_wait_ms("", harness.now + 20.0) <= 40.0
+    harness.submit(after=20.0)
+    harness.only_action(SendAttempt)
+    # A stream that does not start.
+    assert harness.state.load.decode_wait_ms("", harness.now + 3_000.0) > 1_000.0
 
 
 def test_a_partitioned_dispatcher_expires_the_load_of_its_peers() -> None:
     """Regression: loads announced before a partition counted for ever."""
-    front = Front(gossip_allowed=True, dispatcher_count=200)
+    harness = RouterHarness(gossip_allowed=True, dispatcher_count=200)
     for peer in range(1, 200):
-        front.feed(GossipReceived(peer, encode_datagram([(endpoint_tag("r1"), encode_load(5_000.0))])))
-    load = front.state.load
-    r1 = front.endpoint("r1")
+        harness.handle(GossipReceived(peer, encode_datagram([(endpoint_tag("r1"), encode_load(5_000.0))])))
+    load = harness.state.load
+    r1 = harness.endpoint("r1")
     assert load.prefill_cost_in_flight(r1) > 199 * 4_500.0
-    front.feed()
-    assert front.state.remote_load.active_peers == 199
-    front.feed(after=SETTINGS.classes[0].client_timeout_ms + 1.0)
-    assert (load.prefill_cost_in_flight(r1), front.state.remote_load.active_peers) == (0.0, 0)
-    assert front.state.remote_load.record_count == 0
+    harness.handle()
+    assert harness.state.remote_load.active_peers == 199
+    harness.handle(after=SETTINGS.classes[0].client_timeout_ms + 1.0)
+    assert (load.prefill_cost_in_flight(r1), harness.state.remote_load.active_peers) == (0.0, 0)
+    assert harness.state.remote_load.record_count == 0
 
 
 def test_a_faulty_peer_has_a_bounded_effect_and_cannot_undo_a_drain() -> None:
-    front = Front(gossip_allowed=True, dispatcher_count=200)
-    front.news(UpdateScope.DELTA, entry("r1", 0, state=EndpointState.DRAINING))
+    harness = RouterHarness(gossip_allowed=True, dispatcher_count=200)
+    harness.update_endpoints(UpdateScope.DELTA, make_endpoint("r1", 0, state=EndpointState.DRAINING))
     every = [(endpoint_tag(name), FAILURE_CODE - 1) for name in ("r1", "r2", "w1", "w2")]
     for payload in (
         encode_datagram(every),
@@ -273,20 +280,20 @@
         RESET_DATAGRAM,
         encode_datagram(every),
     ):
-        front.feed(GossipReceived(7, payload))
-        request = front.ask(after=600.0, expires_in_ms=60_000.0)
-        assert all(send.server == "r2" for send in front.sends.get(request, []))
-    assert front.state.remote_load.load_at(endpoint_tag("r2")) <= decode_load(FAILURE_CODE - 1)
-    front.feed(GossipReceived(7, RESET_DATAGRAM))
-    assert front.state.remote_load.load_at(endpoint_tag("r2")) == 0.0
+        harness.handle(GossipReceived(7, payload))
+        request = harness.submit(after=600.0, expires_in_ms=60_000.0)
+        assert all(send.server == "r2" for send in harness.sent_attempts.get(request, []))
+    assert harness.state.remote_load.load_at(endpoint_tag("r2")) <= decode_load(FAILURE_CODE - 1)
+    harness.handle(GossipReceived(7, RESET_DATAGRAM))
+    assert harness.state.remote_load.load_at(endpoint_tag("r2")) == 0.0
 
 
 def test_no_gossip_is_sent_where_the_settings_forbid_it() -> None:
-    front = Front()
-    front.serve()
-    front.feed(TimerFired("tell"))
+    harness = RouterHarness()
+    harness.complete_request()
+    harness.handle(TimerFired("tell"))
     assert not SETTINGS.gossip_allowed
-    assert not front.all(SendGossip)
+    assert not harness.actions_of(SendGossip)
 
 
 def first_host(affinity: PrefillAffinity, prefix: str) -> str:
@@ -309,21 +316,22 @@
     hot = [f"p{n}" for n in range(40)]
     for step in range(1_200):  # 50 requests a second over 8 readers, each read in 20 ms
         if step == 400:
-            began = tier.fronts[0].now
-            for front in tier.fronts:
-                front.news(UpdateScope.DELTA, entry("cold", 0, started_ms=front.now))
-            affinity = tier.fronts[0].state.endpoints.affinity  # all prompts go to the new host from now on
+            began = tier.harnesses[0].now
+            for harness in tier.harnesses:
+                harness.update_endpoints(UpdateScope.DELTA, make_endpoint("cold", 0, started_ms=harness.now))
+            # From now on, all prompts go to the new host.
+            affinity = tier.harnesses[0].state.endpoints.affinity
             hot = [key for key in hot if first_host(affinity, key) == "cold"]
-        front = tier.fronts[step % size]
-        request = front.ask(prompt_tokens=800.0, prefix_id=hot[step % len(hot)])
-        if front.sends[request][0].server == "cold":
-            sent.append(front.now)
-        for other in tier.fronts:
-            if other is not front:
+        harness = tier.harnesses[step % size]
+        request = harness.submit(prompt_tokens=800.0, prefix_id=hot[step % len(hot)])
+        if harness.sent_attempts[request][0].server == "cold":
+            sent.append(harness.now)
+        for other in tier.harnesses:
+            if other is not harness:
                 other.now += 20.0
-        front.end(request, AttemptStatus.PREFILLED, after=20.0)
-        front.begin(request, after=0.0)
-        front.end(request, AttemptStatus.OK, after=0.0)
+        harness.finish_attempt(request, AttemptStatus.PREFILLED, after=20.0)
+        harness.start_stream(request, after=0.0)
+        harness.finish_attempt(request, AttemptStatus.OK, after=0.0)
     usual = 50.0 / len(PREFILL_HOSTS) / 1000.0 / 0.8  # hosts run at 0.8 of what they can do at the most
     for at in (at for at in sent if at + 2_000.0 <= began + 10_000.0):  # it is warm then
         capacity = 0.3 + 0.7 * min(1.0, (at - began) / 10_000.0)
@@ -348,9 +356,9 @@
     for n in range(3 * MAX_REPORTS_PER_PEER):
         state.receive(0.0, 4, encode_datagram([(n.to_bytes(2, "big"), FAILURE_CODE)]), len(tags))
     assert state.failure_reports.count(4) <= MAX_REPORTS_PER_PEER
-    front = Front(*(entry(f"r{n}", 0) for n in range(4)), entry("w0", 1))
+    harness = RouterHarness(*(make_endpoint(f"r{n}", 0) for n in range(4)), make_endpoint("w0", 1))
     for _ in range(50):
         for n in range(4):
             failure = encode_datagram([(endpoint_tag(f"r{n}"), FAILURE_CODE)])
-            front.feed(GossipReceived(1, failure), after=100.0)
-    assert max(front.endpoint(f"r{n}").statistics.penalty.value_at(front.now) for n in range(4)) < 0.1
+            harness.handle(GossipReceived(1, failure), after=100.0)
+    assert max(harness.endpoint(f"r{n}").statistics.penalty.value_at(harness.now) for n in range(4)) < 0.1
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
 import trio
 import trio.testing
 
-from tests.front import Front, entry
+from tests.router_harness import RouterHarness, make_endpoint
 from tests.test_admin import get, post
 from tests.test_stories import pair, play
 from violetstack.admin.cordons import Cordon
@@ -108,8 +108,8 @@
 
 def test_what_operators_said_before_the_clock_was_stepped_back_holds() -> None:
     """The whole record was rejected: a cordoned host was used again after a restart."""
-    front = Front()
-    learned = capture_learned_state(front.state, NOW)
+    harness = RouterHarness()
+    learned = capture_learned_state(harness.state, NOW)
     ahead = record(written_at_ms=NOW + 3_600_000.0, learned_state=learned)
     read = decode_record(encode_record(ahead), "n0", NOW)
     assert read == msgspec.structs.replace(ahead, learned_state=None)
@@ -174,25 +174,43 @@
 
 def test_learned_state_is_restored_only_for_endpoints_that_have_not_restarted() -> None:
     """Without it a new process sends warming hosts only a trickle of requests."""
-    cold = [entry(f"r{n}", 0, started_ms=500.0) for n in range(2)]
+    cold = [make_endpoint(f"r{n}", 0, started_ms=500.0) for n in range(2)]
     shared = (TenantSettings(1.0, 6.0),)
-    old = Front(*cold, entry("w1", 1), entry("w2", 1, started_ms=800.0), dispatcher_count=3, tenants=shared)
-    old.news(UpdateScope.SNAPSHOT, entry("warm", 0), *cold, entry("w1", 1), entry("w2", 1, started_ms=800.0))
+    old = RouterHarness(
+        *cold,
+        make_endpoint("w1", 1),
+        make_endpoint("w2", 1, started_ms=800.0),
+        dispatcher_count=3,
+        tenants=shared,
+    )
+    old.update_endpoints(
+        UpdateScope.SNAPSHOT,
+        make_endpoint("warm", 0),
+        *cold,
+        make_endpoint("w1", 1),
+        make_endpoint("w2", 1, started_ms=800.0),
+    )
     for _ in range(20):
-        old.serve(after=100.0)
+        old.complete_request(after=100.0)
     penalize(old.endpoint("w1"), 1.0, old.now)
     state = capture_learned_state(old.state, old.now)
     assert msgspec.json.decode(msgspec.json.encode(state), type=LearnedState) == state
-    listed = (entry("warm", 0), *cold, entry("w1", 1), entry("w2", 1, started_ms=900.0))  # w2 has restarted
-    new = Front(*listed, dispatcher_count=3, tenants=shared)
+    # w2 has restarted.
+    listed = (
+        make_endpoint("warm", 0),
+        *cold,
+        make_endpoint("w1", 1),
+        make_endpoint("w2", 1, started_ms=900.0),
+    )
+    new = RouterHarness(*listed, dispatcher_count=3, tenants=shared)
     new.now = old.now
     assert restore_learned_state(new.state, state) == 4
-    for front in (old, new):
-        front.router.admission.admits_warming(front.endpoint("r0"), old.now, is_prefill=True)
+    for harness in (old, new):
+        harness.router.admission.admits_warming(harness.endpoint("r0"), old.now, is_prefill=True)
     before, after = (f.endpoint("r0").statistics.slow_start for f in (old, new))
     assert (after.rate, after.level) == (before.rate, before.level)
     assert after.rate > 5.0 / (2.0 * 3 * 2000.0)  # five times the rate of a process without estimates
-    penalties = [front.endpoint("w1").statistics.penalty.value_at(old.now) for front in (old, new)]
+    penalties = [harness.endpoint("w1").statistics.penalty.value_at(old.now) for harness in (old, new)]
     assert penalties[0] == penalties[1]
     assert new.state.tenant_quotas[0].level == old.state.tenant_quotas[0].level
 
--- a/tests/test_idempotency_invariant.py
+++ b/tests/test_idempotency_invariant.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from tests.front import SAFE, UNSAFE, entry
+from tests.router_harness import IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, make_endpoint
 from tests.test_core import CoreHarness
 from violetstack.core.records import Attempt
 from violetstack.policy_api import (
@@ -27,13 +27,13 @@
     UpdateScope,
 )
 
-KEYED = replace(UNSAFE, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_window_ms=300.0)
+KEYED = replace(NON_IDEMPOTENT_CLASS, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_window_ms=300.0)
 HOSTS = (
-    entry("r1", 0),
-    entry("w1", 1, zone=0, cell=0),
-    entry("w2", 1, zone=0, cell=1),
-    entry("w3", 1, zone=1, cell=2),
-    entry("m1", 2, zone=0, cell=0),
+    make_endpoint("r1", 0),
+    make_endpoint("w1", 1, zone=0, cell=0),
+    make_endpoint("w2", 1, zone=0, cell=1),
+    make_endpoint("w3", 1, zone=1, cell=2),
+    make_endpoint("m1", 2, zone=0, cell=0),
 )
 HOST_NAMES = [host.server for host in HOSTS]
 ENDS_AFTER_WRITING = (AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.REJECTED, AttemptStatus.OK)
@@ -59,7 +59,7 @@
 
     def __init__(self, spec: ClassSettings, *, hedging: bool, cancel: bool, max_attempts: int) -> None:
         super().__init__(
-            classes=(SAFE, spec),
+            classes=(IDEMPOTENT_CLASS, spec),
             hedging_allowed=hedging,
             cancellation_allowed=cancel,
             max_attempts=max_attempts,
@@ -256,7 +256,7 @@
 
 
 def test_a_non_idempotent_request_is_not_executed_twice_even_if_hedging_is_allowed() -> None:
-    play = Play(UNSAFE, hedging=True, cancel=True, max_attempts=4)
+    play = Play(NON_IDEMPOTENT_CLASS, hedging=True, cancel=True, max_attempts=4)
     first = play.send("w1")
     play.run(SendAttempt("q", "w2", 0.0))
     assert play.ports.attempts == [first]  # though the first is not even written
@@ -269,7 +269,7 @@
 
 
 def test_a_non_idempotent_request_goes_out_again_after_a_rejection() -> None:
-    play = Play(UNSAFE, hedging=False, cancel=True, max_attempts=4)
+    play = Play(NON_IDEMPOTENT_CLASS, hedging=False, cancel=True, max_attempts=4)
     first = play.send("w1")
     play.connect(first)
     play.write(first)
@@ -315,7 +315,7 @@
 
 def test_an_attempt_past_its_own_deadline_is_not_written_before_its_timer_has_run() -> None:
     """The loop may write before it runs timers: the host was told that 1 ms was left."""
-    play = Play(SAFE, hedging=False, cancel=True, max_attempts=4)
+    play = Play(IDEMPOTENT_CLASS, hedging=False, cancel=True, max_attempts=4)
     attempt = play.send("w1", stop_after=100.0)
     play.now += 100.0
     assert not play.core.may_send(play.now, attempt)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec.structs import replace
 
-from tests.front import SAFE, SETTINGS, UNSAFE, entry
+from tests.router_harness import IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS, SETTINGS, make_endpoint
 from tests.test_core import CoreHarness
 from violetstack.core.invariants import MAX_LOGGED, Rule
 from violetstack.core.records import Attempt, RequestOutcome
@@ -20,7 +20,7 @@
 )
 
 KEYED = replace(
-    SAFE,
+    IDEMPOTENT_CLASS,
     idempotency=Idempotency.IDEMPOTENCY_KEY,
     deduplication_scope=DeduplicationScope.CELL,
     deduplication_window_ms=1000.0,
@@ -57,7 +57,7 @@
 def test_a_first_byte_to_a_draining_host_is_counted() -> None:
     harness = CoreHarness()
     attempt = harness.send("w1")
-    draining = entry("w1", 1, state=EndpointState.DRAINING)
+    draining = make_endpoint("w1", 1, state=EndpointState.DRAINING)
     harness.core.update_endpoints(harness.now, EndpointUpdate(UpdateScope.DELTA, (draining,), 2))
     write(harness, attempt)
     assert violations(harness) == {Rule.DRAIN: 1}
@@ -84,7 +84,7 @@
 @pytest.mark.parametrize("status", [None, AttemptStatus.RESET])
 def test_a_second_execution_is_counted(status: AttemptStatus | None) -> None:
     """Beside the first one, or after it may have run."""
-    harness = CoreHarness(classes=(SAFE, UNSAFE), hedging_allowed=True)
+    harness = CoreHarness(classes=(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS), hedging_allowed=True)
     first = harness.send("w1")
     write(harness, first)
     second = Attempt(harness.request, 1, "w2", is_prefill=False, sent_at=harness.now, deadline=harness.now)
@@ -102,7 +102,7 @@
 def test_a_repetition_outside_the_window_or_the_scope_is_counted(
     after_ms: float, cell: int, expected: int
 ) -> None:
-    harness = CoreHarness(classes=(SAFE, KEYED))
+    harness = CoreHarness(classes=(IDEMPOTENT_CLASS, KEYED))
     first = harness.send("w1")
     write(harness, first)
     harness.core.attempt_finished(harness.now, first, AttemptStatus.RESET)
@@ -114,7 +114,7 @@
         is_prefill=False,
         sent_at=harness.now,
         deadline=harness.now,
-        endpoint=entry("w2", 1, cell=cell),
+        endpoint=make_endpoint("w2", 1, cell=cell),
     )
     write(harness, second)
     assert violations(harness).get(Rule.DUPLICATE, 0) == expected
--- a/tests/test_lease_node.py
+++ b/tests/test_lease_node.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.front import Front, entry
+from tests.router_harness import RouterHarness, make_endpoint
 from violetstack.lease.errors import InvalidDatagramError
 from violetstack.lease.messages import Ballot, Message, MessageType, encode, lease_id_of, node_id_of
 from violetstack.lease.node import LeaseNode, NodeSettings
@@ -242,21 +242,21 @@
 
 
 def test_policy_avoids_a_suspect_that_another_dispatcher_checks_only_with_evidence_of_its_own() -> None:
-    front = Front(entry("r0", 0), entry("r1", 0), entry("w0", 1))
-    front.feed(OutlierCheckResult("r0", 2_000.0, False), OutlierCheckResult("nobody", 2_000.0, False))
-    endpoint = front.endpoint("r0")
+    harness = RouterHarness(make_endpoint("r0", 0), make_endpoint("r1", 0), make_endpoint("w0", 1))
+    harness.handle(OutlierCheckResult("r0", 2_000.0, False), OutlierCheckResult("nobody", 2_000.0, False))
+    endpoint = harness.endpoint("r0")
     assert endpoint.statistics.avoid_until == 0.0
-    assert not front.router.outliers.suspects("r0")
-    for at in (front.now, front.now + 1.0):
+    assert not harness.router.outliers.suspects("r0")
+    for at in (harness.now, harness.now + 1.0):
         penalize(endpoint, 0.0, at)
-    assert front.router.outliers.suspects("r0")
+    assert harness.router.outliers.suspects("r0")
     endpoint.statistics.penalty.total = 0.0  # its failures no longer cost anything
-    front.feed(OutlierCheckResult("r0", 2_000.0, False), after=2.0)
+    harness.handle(OutlierCheckResult("r0", 2_000.0, False), after=2.0)
     sent = []
     for _ in range(6):
-        front.ask()
-        sent.append(front.all(SendAttempt)[-1].server)
+        harness.submit()
+        sent.append(harness.actions_of(SendAttempt)[-1].server)
     assert set(sent) == {"r1"}
-    front.feed(OutlierCheckResult("r0", 0.0, True))
-    assert not front.router.outliers.suspects("r0")
+    harness.handle(OutlierCheckResult("r0", 0.0, True))
+    assert not harness.router.outliers.suspects("r0")
     assert endpoint.statistics.avoid_until == 0.0
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -8,7 +8,7 @@
 import trio
 import trio.testing
 
-from tests.front import READERS, WRITERS, Front, entry
+from tests.router_harness import DECODE_HOSTS, PREFILL_HOSTS, RouterHarness, make_endpoint
 from tests.test_stories import pair, play
 from violetstack.core.records import OpenRequest
 from violetstack.core.timers import NEVER, Timers
@@ -61,17 +61,17 @@
 
 
 def test_the_policy_drops_a_removed_host_after_its_last_attempt() -> None:
-    front = Front()
-    servers = front.state.endpoints.by_name
-    request = front.ask()
-    reader = front.sends[request][0].server
-    gone = entry(reader, 0, state=EndpointState.REMOVED)
-    front.news(UpdateScope.DELTA, gone)
+    harness = RouterHarness()
+    servers = harness.state.endpoints.by_name
+    request = harness.submit()
+    reader = harness.sent_attempts[request][0].server
+    gone = make_endpoint(reader, 0, state=EndpointState.REMOVED)
+    harness.update_endpoints(UpdateScope.DELTA, gone)
     assert reader in servers
-    front.end(request, AttemptStatus.CANCELLED)
-    front.news(UpdateScope.DELTA, entry("r3", 0))
+    harness.finish_attempt(request, AttemptStatus.CANCELLED)
+    harness.update_endpoints(UpdateScope.DELTA, make_endpoint("r3", 0))
     assert reader not in servers
-    front.news(UpdateScope.SNAPSHOT, *READERS, *WRITERS)
+    harness.update_endpoints(UpdateScope.SNAPSHOT, *PREFILL_HOSTS, *DECODE_HOSTS)
     assert set(servers) == {"r1", "r2", "w1", "w2"}
 
 
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 
-from tests.front import SETTINGS, WRITERS, Front, entry
+from tests.router_harness import DECODE_HOSTS, SETTINGS, RouterHarness, make_endpoint
 from tests.test_core import RecordingPorts
 from tests.test_stories import play
 from violetstack.core.dispatcher import Dispatcher
@@ -44,7 +44,7 @@
 def core_of() -> tuple[Dispatcher, RecordingPorts]:
     ports = RecordingPorts()
     core = Dispatcher(SETTINGS, ports, ports, GRACE_MS)
-    core.update_endpoints(1000.0, EndpointUpdate(UpdateScope.SNAPSHOT, WRITERS, 1))
+    core.update_endpoints(1000.0, EndpointUpdate(UpdateScope.SNAPSHOT, DECODE_HOSTS, 1))
     core.run(1000.0)
     ports.events.clear()
     return core, ports
@@ -151,7 +151,8 @@
     core, ports = core_of()
     core.accept(5000.0, asked(), ports, None)
     core.update_endpoints(
-        5000.0, EndpointUpdate(UpdateScope.SNAPSHOT, (entry("w1", 1, state=EndpointState.DRAINING),), 2)
+        5000.0,
+        EndpointUpdate(UpdateScope.SNAPSHOT, (make_endpoint("w1", 1, state=EndpointState.DRAINING),), 2),
     )
     core.process_paused(0.0, 4000.0)
     core.run(5000.0)
@@ -171,50 +172,50 @@
 
 
 def test_a_pause_discards_gossip_and_no_estimator_learns_across_it() -> None:
-    front = Front(gossip_allowed=True)
-    front.feed(GossipReceived(1, encode_datagram([(endpoint_tag("r1"), encode_load(500.0))])))
-    request = front.ask()
-    front.feed(TimerFired("tell"), after=25.0)
-    told = front.one(SendGossip).payload
-    remote_load = front.state.remote_load
-    statistics = front.state.statistics
+    harness = RouterHarness(gossip_allowed=True)
+    harness.handle(GossipReceived(1, encode_datagram([(endpoint_tag("r1"), encode_load(500.0))])))
+    request = harness.submit()
+    harness.handle(TimerFired("tell"), after=25.0)
+    told = harness.only_action(SendGossip).payload
+    remote_load = harness.state.remote_load
+    statistics = harness.state.statistics
     assert remote_load.load_at(endpoint_tag("r1")) == decode_load(encode_load(500.0))
-    front.feed(ProcessPaused(5000.0), after=5000.0)
+    harness.handle(ProcessPaused(5000.0), after=5000.0)
     assert remote_load.load_at(endpoint_tag("r1")) == 0.0
-    assert front.one(SendGossip).payload == RESET_DATAGRAM
-    front.feed(TimerFired("tell"), after=25.0)
-    assert front.one(SendGossip).payload == told  # all attempts in flight are announced anew
-    front.end(request, AttemptStatus.PREFILLED, took=5050.0)
-    assert not statistics.cost_done.value_at(front.now)
+    assert harness.only_action(SendGossip).payload == RESET_DATAGRAM
+    harness.handle(TimerFired("tell"), after=25.0)
+    assert harness.only_action(SendGossip).payload == told  # all attempts in flight are announced anew
+    harness.finish_attempt(request, AttemptStatus.PREFILLED, duration_ms=5050.0)
+    assert not statistics.cost_done.value_at(harness.now)
     assert not statistics.prefill_times_ms.samples
-    front.feed(ProcessPaused(500.0), after=500.0)  # the decode attempt is in flight now
-    front.begin(request)
+    harness.handle(ProcessPaused(500.0), after=500.0)  # the decode attempt is in flight now
+    harness.start_stream(request)
     assert not statistics.first_token_times_ms.samples
-    front.serve()
-    assert statistics.cost_done.value_at(front.now)
+    harness.complete_request()
+    assert statistics.cost_done.value_at(harness.now)
     assert statistics.first_token_times_ms.samples
 
 
 def test_a_load_report_read_after_a_pause_is_dated_before_it() -> None:
-    front = Front(load_report_fields=("x0",))
-    request = front.ask()
-    front.now += 5000.0
-    reader = front.sends[request][0].server
+    harness = RouterHarness(load_report_fields=("x0",))
+    request = harness.submit()
+    harness.now += 5000.0
+    reader = harness.sent_attempts[request][0].server
     outcome = AttemptFinished(request, reader, 0, AttemptStatus.PREFILLED, 5000.0, False, 0, (0.5,))
-    front.feed(ProcessPaused(5000.0), outcome)
-    assert front.endpoint(reader).statistics.memory.reported_at == front.now - 5000.0
+    harness.handle(ProcessPaused(5000.0), outcome)
+    assert harness.endpoint(reader).statistics.memory.reported_at == harness.now - 5000.0
 
 
 def test_a_new_dispatcher_is_sent_all_attempts_in_flight() -> None:
     """It received only changes, and took hosts that were full for idle ones."""
-    front = Front(gossip_allowed=True)
-    front.ask()
-    front.feed(TimerFired("tell"), after=25.0)
-    told = front.one(SendGossip).payload
-    front.feed(GossipReceived(1, RESET_DATAGRAM), GossipReceived(2, RESET_DATAGRAM))
-    assert 20.0 <= front.all(StartTimer)[0].delay_ms <= 200.0
-    front.feed(TimerFired("tell"), after=250.0)
-    assert front.one(SendGossip).payload == told
+    harness = RouterHarness(gossip_allowed=True)
+    harness.submit()
+    harness.handle(TimerFired("tell"), after=25.0)
+    told = harness.only_action(SendGossip).payload
+    harness.handle(GossipReceived(1, RESET_DATAGRAM), GossipReceived(2, RESET_DATAGRAM))
+    assert 20.0 <= harness.actions_of(StartTimer)[0].delay_ms <= 200.0
+    harness.handle(TimerFired("tell"), after=250.0)
+    assert harness.only_action(SendGossip).payload == told
 
 
 async def _first_datagram() -> bytes:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 
-from tests.front import SETTINGS
+from tests.router_harness import SETTINGS
 from violetstack import log
 from violetstack.config import Config, NodeConfig
 from violetstack.daemon.daemon import Daemon
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.front import READERS, SETTINGS, WRITERS, Front, entry
 from tests.programs import ASKED, CLASSES, TENANTS, programs
+from tests.router_harness import DECODE_HOSTS, PREFILL_HOSTS, SETTINGS, RouterHarness, make_endpoint
 from violetstack.core.errors import NotRoutedError
 from violetstack.core.ports import Origin
 from violetstack.language.checker import check
@@ -303,12 +303,13 @@
 LOOSE = Plan(PLAN.routes, PLAN.pools, {"p": Policy("p", None, None, 0.0, 1.0)})
 
 
-def front(*, plan: Plan = PLAN) -> tuple[Front, Routing]:
+def front(*, plan: Plan = PLAN) -> tuple[RouterHarness, Routing]:
     rows = [
-        entry(e.server, e.kind, cell=cell) for e, cell in zip((*READERS, *WRITERS), (1, 2, 1, 2), strict=True)
+        make_endpoint(e.server, e.kind, cell=cell)
+        for e, cell in zip((*PREFILL_HOSTS, *DECODE_HOSTS), (1, 2, 1, 2), strict=True)
     ]
     routes = routing(plan)
-    on = Front(*rows)
+    on = RouterHarness(*rows)
     routes.update_endpoints(on.now, EndpointUpdate(UpdateScope.SNAPSHOT, tuple(rows), 1))
     return on, routes
 
@@ -322,36 +323,36 @@
 def test_the_module_chooses_among_the_pools_hosts_and_no_other() -> None:
     on, routes = front()
     for _ in range(20):
-        asked = on.ask(route=course(routes))
-        assert on.sends[asked][0].server == "r1" and on.one(ReserveDecodeSlot).server == "w1"
-        on.end(asked, AttemptStatus.PREFILLED)
-        on.begin(asked)
-        on.end(asked, AttemptStatus.OK)
+        asked = on.submit(route=course(routes))
+        assert on.sent_attempts[asked][0].server == "r1" and on.only_action(ReserveDecodeSlot).server == "w1"
+        on.finish_attempt(asked, AttemptStatus.PREFILLED)
+        on.start_stream(asked)
+        on.finish_attempt(asked, AttemptStatus.OK)
 
 
 def test_a_lost_pool_hands_on_what_is_under_way() -> None:
     on, routes = front(plan=LOOSE)
-    asked = on.ask(route=course(routes))
+    asked = on.submit(route=course(routes))
     gone = (
-        entry("r1", 0, cell=1, state=EndpointState.REMOVED),
-        entry("w1", 1, cell=1, state=EndpointState.REMOVED),
+        make_endpoint("r1", 0, cell=1, state=EndpointState.REMOVED),
+        make_endpoint("w1", 1, cell=1, state=EndpointState.REMOVED),
     )
     routes.update_endpoints(on.now, EndpointUpdate(UpdateScope.DELTA, gone, 2))
-    on.news(UpdateScope.DELTA, *gone)
-    on.end(asked, AttemptStatus.RESET)
-    assert [send.server for send in on.sends[asked]] == ["r1", "r2"]
+    on.update_endpoints(UpdateScope.DELTA, *gone)
+    on.finish_attempt(asked, AttemptStatus.RESET)
+    assert [send.server for send in on.sent_attempts[asked]] == ["r1", "r2"]
 
 
 def test_attempts_and_budget_of_the_policy_bind() -> None:
     on, routes = front()  # 2 attempts: one read and one write, and a failed read is the end
-    asked = on.ask(route=course(routes))
-    on.end(asked, AttemptStatus.RESET)
-    assert on.one(RejectRequest).id == asked
+    asked = on.submit(route=course(routes))
+    on.finish_attempt(asked, AttemptStatus.RESET)
+    assert on.only_action(RejectRequest).id == asked
     on, routes = front(plan=LOOSE)
     for n in range(3):  # the floor allows one a second
-        asked = on.ask(route=course(routes), after=1.0)
-        on.end(asked, AttemptStatus.ERROR, after=1.0)
-        assert len(on.sends[asked]) == (2 if n == 0 else 1)
+        asked = on.submit(route=course(routes), after=1.0)
+        on.finish_attempt(asked, AttemptStatus.ERROR, after=1.0)
+        assert len(on.sent_attempts[asked]) == (2 if n == 0 else 1)
 
 
 def test_a_jam_in_one_pool_refuses_nothing_in_another() -> None:
@@ -360,12 +361,12 @@
     on, routes = front(plan=Plan(rows, specs))
     other = routes.route(request(class_index=1), Origin("platform")).route
     for _ in range(3):
-        on.serve(route=course(routes), after=400.0)
-        on.serve(route=other, class_index=1, after=400.0)
-    sent = [on.ask(route=course(routes)) for _ in range(4)]
+        on.complete_request(route=course(routes), after=400.0)
+        on.complete_request(route=other, class_index=1, after=400.0)
+    sent = [on.submit(route=course(routes)) for _ in range(4)]
     for asked in sent:  # pool one's only writer begins nothing any more
-        on.end(asked, AttemptStatus.PREFILLED, after=5.0)
-    jammed = on.ask(route=course(routes), after=1_000.0)
-    assert jammed not in on.sends and on.one(RejectRequest).id == jammed
-    free = on.ask(route=other, class_index=1)
-    assert on.sends[free][0].server == "r2"
+        on.finish_attempt(asked, AttemptStatus.PREFILLED, after=5.0)
+    jammed = on.submit(route=course(routes), after=1_000.0)
+    assert jammed not in on.sent_attempts and on.only_action(RejectRequest).id == jammed
+    free = on.submit(route=other, class_index=1)
+    assert on.sent_attempts[free][0].server == "r2"
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -19,7 +19,7 @@
 import pytest
 from msgspec.structs import replace
 
-from tests.front import SETTINGS, Front, entry
+from tests.router_harness import SETTINGS, RouterHarness, make_endpoint
 from violetstack.estimation.slow_start import SlowStartBucket, capacity_fraction
 from violetstack.policy.router import Router
 from violetstack.policy_api import (
@@ -48,7 +48,7 @@
 
 BEGIN_MS = 1_000_000.0  # the hosts start; the dispatchers have run for long
 UTILIZATION = 0.8  # of the warm hosts, the largest that the policy allows for
-PREFILL, DECODE, MIXED = 0, 1, 2  # kinds, as the settings of `tests.front` number them
+PREFILL, DECODE, MIXED = 0, 1, 2  # kinds, as the settings of `tests.router_harness` number them
 MEMORY_MS = 60_000.0  # time constant of the policy's count of requests
 CLIENT_RETRY_MS = 250.0
 CLIENT_RETRIES = 2
@@ -109,10 +109,12 @@
         spread = (0.3, 0.6, 4.0) if plan.uneven else (1.0,)
         weights = [self.random.choice(spread) for _ in range(plan.dispatchers)]
         self.weights = [weight / sum(weights) for weight in weights]
-        self.cold = [entry(f"cold{n}", plan.kind, started_ms=BEGIN_MS) for n in range(plan.cold)]
+        self.cold = [make_endpoint(f"cold{n}", plan.kind, started_ms=BEGIN_MS) for n in range(plan.cold)]
         warm = plan.hosts - plan.cold if plan.lost else plan.hosts
-        self.warm = [entry(f"warm{n}", plan.kind) for n in range(warm)]
-        self.others = [] if plan.kind == MIXED else [entry(f"other{n}", 1 - plan.kind) for n in range(4)]
+        self.warm = [make_endpoint(f"warm{n}", plan.kind) for n in range(warm)]
+        self.others = (
+            [] if plan.kind == MIXED else [make_endpoint(f"other{n}", 1 - plan.kind) for n in range(4)]
+        )
         self.settings = replace(
             SETTINGS,
             dispatcher_count=plan.dispatchers,
@@ -386,20 +388,22 @@
 
 def test_without_an_overload_window_a_starting_host_is_not_held_back() -> None:
     """Regression: a division by zero, for each request."""
-    front = Front(entry("r1", PREFILL, started_ms=990.0), entry("w1", DECODE), overload_window_ms=0.0)
-    assert len({front.sends[front.ask()][0].server for _ in range(20)}) == 1
+    harness = RouterHarness(
+        make_endpoint("r1", PREFILL, started_ms=990.0), make_endpoint("w1", DECODE), overload_window_ms=0.0
+    )
+    assert len({harness.sent_attempts[harness.submit()][0].server for _ in range(20)}) == 1
 
 
 def test_few_hosts_that_remain_are_not_taken_to_do_the_work_of_many() -> None:
-    many = [entry(f"r{n}", PREFILL) for n in range(10)]
-    front = Front(*many, entry("w1", DECODE))
+    many = [make_endpoint(f"r{n}", PREFILL) for n in range(10)]
+    harness = RouterHarness(*many, make_endpoint("w1", DECODE))
     for _ in range(50):
-        front.end(front.ask(after=20.0), AttemptStatus.PREFILLED, after=20.0)
+        harness.finish_attempt(harness.submit(after=20.0), AttemptStatus.PREFILLED, after=20.0)
     rates = []
-    for listed in ([*many, entry("cold", PREFILL, started_ms=front.now)], many[:0]):
-        cold = entry("cold", PREFILL, started_ms=front.now)
-        front.news(UpdateScope.SNAPSHOT, *listed, cold, entry("w1", DECODE))
-        admission = front.router.admission
-        admission.admits_warming(front.endpoint("cold"), front.now, is_prefill=True)
-        rates.append(front.endpoint("cold").statistics.slow_start.rate)
+    for listed in ([*many, make_endpoint("cold", PREFILL, started_ms=harness.now)], many[:0]):
+        cold = make_endpoint("cold", PREFILL, started_ms=harness.now)
+        harness.update_endpoints(UpdateScope.SNAPSHOT, *listed, cold, make_endpoint("w1", DECODE))
+        admission = harness.router.admission
+        admission.admits_warming(harness.endpoint("cold"), harness.now, is_prefill=True)
+        rates.append(harness.endpoint("cold").statistics.slow_start.rate)
     assert rates[0] <= rates[1] <= 1.2 * rates[0]
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -9,7 +9,7 @@
 import trio
 from click.testing import CliRunner
 
-from tests.front import Front
+from tests.router_harness import RouterHarness
 from violetstack.commands.main import main
 from violetstack.handover.learned_state import capture_learned_state
 from violetstack.net import background_writer
@@ -120,13 +120,13 @@
     """A directory with a snapshot and a log, and the state in it."""
     directory = CrashingDirectory()
     snapshot = StateSnapshot()
-    front = Front()
-    front.serve()
+    harness = RouterHarness()
+    harness.complete_request()
     store = SnapshotStore(directory, recover(directory))
     snapshot.apply_endpoints(message(1), complete=True)
     store.write_snapshot(snapshot.encode())
     snapshot.apply_endpoints(message(2), complete=False)
-    snapshot.learned = capture_learned_state(front.state, front.now)
+    snapshot.learned = capture_learned_state(harness.state, harness.now)
     store.append(encode_learned(snapshot.learned) + encode_endpoints(message(2), complete=False))
     snapshot.apply_endpoints(message(3), complete=False)
     store.append(encode_endpoints(message(3), complete=False))
