--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -87,7 +87,7 @@
     def __init__(self, unread: int) -> None:
         self.unread = unread
 
-    def pending(self) -> bool:
+    def has_unread_input(self) -> bool:
         self.unread -= 1
         return self.unread >= 0
 
--- a/violetstack/daemon/fronts.py
+++ b/violetstack/daemon/fronts.py
@@ -100,7 +100,7 @@
 
     def connections_queued(self) -> bool:
         """Does a connection wait in a listening socket's queue?"""
-        return any(is_readable(listening.socket, in_doubt=True) for listening in self.sockets)
+        return any(is_readable(listening.socket, if_unknown=True) for listening in self.sockets)
 
     def note_closed_queue(self) -> None:
         """The listening sockets are about to be closed over connections that nobody has accepted."""
--- a/violetstack/net/downstream/listener.py
+++ b/violetstack/net/downstream/listener.py
@@ -153,7 +153,7 @@
             has_room = False
         if has_room:
             unread_since = 0.0
-            if wrap is None and is_readable(stream.socket, in_doubt=True):
+            if wrap is None and is_readable(stream.socket, if_unknown=True):
                 unread_since = self._accepted_unread_since()
             self._nursery.start_soon(self._serve, stream, wrap, unread_since)
         elif self.table.may_refuse():
@@ -199,4 +199,4 @@
 
 def _queue_is_empty(listener: trio.SocketListener) -> bool:
     """Whether no connection waits to be accepted; also if the listener has been closed."""
-    return listener.socket.fileno() < 0 or not is_readable(listener.socket, in_doubt=True)
+    return listener.socket.fileno() < 0 or not is_readable(listener.socket, if_unknown=True)
--- a/violetstack/net/downstream/socket_state.py
+++ b/violetstack/net/downstream/socket_state.py
@@ -39,14 +39,14 @@
 def has_unread(stream: trio.abc.Stream) -> bool:
     """Whether bytes, or the peer's end, wait in the socket of the open stream."""
     transport = tcp_stream(stream)
-    return transport is not None and is_readable(transport.socket, in_doubt=True)
+    return transport is not None and is_readable(transport.socket, if_unknown=True)
 
 
 async def wait_for_peer_end(stream: trio.abc.Stream) -> None:
     """Returns once the peer has closed the stream; what it sends is left unread in the socket."""
     transport = tcp_stream(stream)
     while transport is not None and not peer_has_closed(transport):
-        if is_readable(transport.socket, in_doubt=True):
+        if is_readable(transport.socket, if_unknown=True):
             await trio.sleep(PEER_END_POLL_S)
         else:
             await wait_readable(transport.socket)
--- a/violetstack/net/gossip.py
+++ b/violetstack/net/gossip.py
@@ -99,10 +99,10 @@
                 with contextlib.suppress(OSError):
                     await self._read_batch(trio_socket, handle)
 
-    def pending(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Returns whether an unread datagram is waiting."""
         receiving = self._receiving_socket
-        return receiving is not None and is_readable(receiving, in_doubt=False)
+        return receiving is not None and is_readable(receiving, if_unknown=False)
 
     def broadcast(self, payload: bytes) -> None:
         """Sends a datagram to all peers.
@@ -135,7 +135,7 @@
         """Waits for a datagram, then reads what else has arrived, up to `READ_BATCH` more."""
         self._received(*await trio_socket.recvfrom(MAX_DATAGRAM_BYTES + 1), handle)
         for _ in range(READ_BATCH):
-            if not is_readable(trio_socket, in_doubt=False):
+            if not is_readable(trio_socket, if_unknown=False):
                 return
             self._received(*await trio_socket.recvfrom(MAX_DATAGRAM_BYTES + 1), handle)
 
--- a/violetstack/net/pause_detector.py
+++ b/violetstack/net/pause_detector.py
@@ -21,7 +21,7 @@
 class InputSource(Protocol):
     """A reader of sockets that is caught up with before anything is decided."""
 
-    def pending(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Returns whether anything is still unread."""
 
 
@@ -125,7 +125,7 @@
         """Lets the reading tasks run until nothing is unread; returns the number of loop iterations."""
         give_up_at = trio.current_time() + MAX_CATCH_UP_S
         iterations = 0
-        while iterations < MIN_LOOP_ITERATIONS or any(source.pending() for source in self._sources):
+        while iterations < MIN_LOOP_ITERATIONS or any(source.has_unread_input() for source in self._sources):
             await trio.lowlevel.checkpoint()
             iterations += 1
             if iterations >= MAX_LOOP_ITERATIONS or trio.current_time() >= give_up_at:
--- a/violetstack/net/transient_errors.py
+++ b/violetstack/net/transient_errors.py
@@ -20,8 +20,8 @@
     return isinstance(error, OSError) and error.errno in TRANSIENT_ERRORS
 
 
-def is_readable(open_socket: trio.socket.SocketType, *, in_doubt: bool) -> bool:
-    """Whether there is something to read or to accept; `in_doubt` if the system cannot tell.
+def is_readable(open_socket: trio.socket.SocketType, *, if_unknown: bool) -> bool:
+    """Whether there is something to read or to accept; `if_unknown` if the system cannot tell.
 
     poll(2) fails for lack of memory. Whoever closes what is not readable passes True, whoever reads until
     nothing is left passes False.
@@ -29,7 +29,7 @@
     try:
         return bool(open_socket.is_readable())
     except OSError:
-        return in_doubt
+        return if_unknown
 
 
 async def send_all(stream: trio.abc.Stream, data: bytes | memoryview) -> None:
--- a/violetstack/net/upstream/connection.py
+++ b/violetstack/net/upstream/connection.py
@@ -120,7 +120,7 @@
 
     def has_input(self) -> bool:
         """Whether there is something to read. On an idle connection that is its end."""
-        return is_readable(self.sock, in_doubt=False)
+        return is_readable(self.sock, if_unknown=False)
 
     def abort(self) -> None:
         """Closes the socket at once, so that no further byte reaches the host.
--- a/violetstack/net/upstream/driver.py
+++ b/violetstack/net/upstream/driver.py
@@ -90,7 +90,7 @@
 
     # --- for the daemon ---
 
-    def pending(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether a response lies unread in a socket."""
         return self.attempts.has_unread_input()
 
--- a/violetstack/net/watch.py
+++ b/violetstack/net/watch.py
@@ -82,12 +82,12 @@
         self.dropped = True
         self.scope.cancel()
 
-    def pending(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Is there anything unread?"""
         stream = self.stream
         if stream is None or stream.socket.fileno() < 0:
             return False
-        return is_readable(stream.socket, in_doubt=False)
+        return is_readable(stream.socket, if_unknown=False)
 
 
 class Watch:
@@ -133,9 +133,9 @@
         """Is another connection to be opened, since none is current or the complete list is missing?"""
         return self._lost
 
-    def pending(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Is anything unread on any connection?"""
-        return any(connection.pending() for connection in self._connections)
+        return any(connection.has_unread_input() for connection in self._connections)
 
     def move(self, address: Address) -> None:
         """Watches another address from now on.
@@ -379,7 +379,7 @@
             with trio.move_on_at(deadline):
                 return await self._read(connection, stream)
             # If this process has not read since the deadline, it may have been stopped: what came counts.
-            if connection.read_at > deadline or not is_readable(stream.socket, in_doubt=False):
+            if connection.read_at > deadline or not is_readable(stream.socket, if_unknown=False):
                 self._give_up(connection)
         return await self._read(connection, stream)
 
