--- a/tests/test_background_tasks.py
+++ b/tests/test_background_tasks.py
@@ -47,7 +47,7 @@
     reader, writer = pair()
 
     async def story(on: Stage) -> None:
-        await on.daemon.endpoints.watch.heard.wait()  # type: ignore[union-attr]
+        await on.daemon.endpoints.watch.responded.wait()  # type: ignore[union-attr]
         apply_update = on.daemon.core.update_endpoints
         failures = [RuntimeError("not foreseen")]
 
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -156,7 +156,7 @@
         on.daemon.reload(lambda: on.config(discovery=address))
         on.discovery.tell(writer.row(state="leaving"))
         await until(lambda: "w" in on.daemon.core.draining)
-        await trio.sleep(2.0 * watch.MIN_INTERVAL_S)  # by then it has tried
+        await trio.sleep(2.0 * watch.MIN_CONNECT_INTERVAL_S)  # by then it has tried
         on.daemon.reload(on.config)
         on.discovery.tell(writer.row())
         await until(lambda: "w" not in on.daemon.core.draining)
@@ -218,7 +218,7 @@
             await trio.sleep(1.0)
             self.discovery = self._discoveries[NEW_ADDRESS] = FaultyDiscovery(self.fault)
             self.discovery.down = True
-            self.watch.move(NEW_ADDRESS)
+            self.watch.change_address(NEW_ADDRESS)
             await trio.sleep(outage_s / 2.0)
             if old_ends:
                 old.hang_up()
@@ -283,7 +283,9 @@
     cases = [partial(each.recovery_s, length) for each, length in zip(watched, OUTAGES_S, strict=True)]
     assert longest_s(cases) <= BOUND_S - MARGIN_S
     gaps = [later - sooner for each in watched for sooner, later in pairwise(each.discovery.calls[1:])]
-    longest_gap_s = watch.STALLED_S + FIRST_WINDOW_AFTER_WATCH_S if fault == "falls silent" else MAX_WINDOW_S
+    longest_gap_s = (
+        watch.STALL_TIMEOUT_S + FIRST_WINDOW_AFTER_WATCH_S if fault == "falls silent" else MAX_WINDOW_S
+    )
     assert max(gaps, default=0.0) <= longest_gap_s + 0.01  # so it holds wherever in it discovery returns
 
 
@@ -312,11 +314,11 @@
 @pytest.mark.usefixtures("in_memory")
 @pytest.mark.parametrize("fault", ["never comes up", "silent"])
 def test_connections_that_wait_in_vain_never_bar_the_next_one(fault: str) -> None:
-    """There are MAX_WAITING places, and each of these connections keeps its own for seconds."""
+    """There are MAX_WAITING_CONNECTIONS places, and each of these connections keeps its own for seconds."""
     watched = WatchedDiscovery(fault, Backoff(3, 7, agent=True))
-    assert longest_s([partial(watched.recovery_s, 6.0)]) <= watch.SLOW_HEDGE_S
+    assert longest_s([partial(watched.recovery_s, 6.0)]) <= watch.SLOW_HEDGE_DELAY_S
     calls = watched.discovery.calls[1:]
-    assert max(later - sooner for sooner, later in pairwise(calls)) <= watch.SLOW_HEDGE_S + 0.01
+    assert max(later - sooner for sooner, later in pairwise(calls)) <= watch.SLOW_HEDGE_DELAY_S + 0.01
 
 
 @pytest.mark.usefixtures("in_memory")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -174,7 +174,7 @@
         assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "served"
         assert on.daemon.state_writer is not None
         assert on.daemon.watch is not None
-        await on.daemon.watch.heard.wait()
+        await on.daemon.watch.responded.wait()
         on.daemon.state_writer.store_learned_state()
         await on.daemon.state_writer.flush()  # it is killed after this, without a drain
 
@@ -228,7 +228,7 @@
         writer = ModelHost("writer", "decode")
         async with stage(reader, writer, chat=state) as on:
             assert on.daemon.watch is not None
-            await on.daemon.watch.heard.wait()
+            await on.daemon.watch.responded.wait()
             on.discovery.changes = []
             on.discovery.version = 9
             on.daemon.watch.request_list()
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -311,7 +311,7 @@
 
 
 def test_a_watch_that_falls_silent_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch, "STALLED_S", 0.05)
+    monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 0.05)
 
     async def story(on: Stage) -> None:
         while len(on.discovery.asked) < 2:
@@ -322,7 +322,7 @@
 
 def test_one_of_200_opens_a_silent_watch_again_within_a_drains_grace(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its agent's news count as told, watch or not; it waited 2.5 to 5 s, as one that was turned away."""
-    monkeypatch.setattr(watch, "STALLED_S", 0.05)
+    monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 0.05)
 
     async def story(on: Stage) -> None:
         for calls in range(2, 7):
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -80,9 +80,9 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch, "STALLED_S", 0.2)
-    monkeypatch.setattr(watch, "FIRST_WORD_S", 0.2)
-    monkeypatch.setattr(watch, "HEDGE_S", 0.05)
+    monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(watch, "FIRST_MESSAGE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(watch, "HEDGE_DELAY_S", 0.05)
 
 
 # --- a watch that closes ---
@@ -112,7 +112,7 @@
         agent = await watch_agent(on, *[ends] * 500)
         began = trio.current_time()
         await until(lambda: len(agent.asked) > 8)
-        assert trio.current_time() - began > 7 * watch.MIN_INTERVAL_S * 0.9
+        assert trio.current_time() - began > 7 * watch.MIN_CONNECT_INTERVAL_S * 0.9
 
     play(*pair(), story=story)
 
@@ -121,8 +121,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Waiting for a connection that hung took 5.5 s longer."""
-    monkeypatch.setattr(watch, "STALLED_S", 60.0)
-    monkeypatch.setattr(watch, "FIRST_WORD_S", 60.0)
+    monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(watch, "FIRST_MESSAGE_TIMEOUT_S", 60.0)
     reader, writer = pair()
 
     async def story(on: Stage) -> None:
@@ -138,8 +138,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each of them dropped all the others, so that no watch was left."""
-    monkeypatch.setattr(watch, "FIRST_WORD_S", 60.0)
-    monkeypatch.setattr(watch, "STALLED_S", 60.0)
+    monkeypatch.setattr(watch, "FIRST_MESSAGE_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 60.0)
     reader, writer = pair()
 
     async def story(on: Stage) -> None:
@@ -174,7 +174,7 @@
         while len(agent.asked) < 12:
             await trio.sleep(0.001)
             most = max(most, len(agent.connections))
-        assert most <= watch.MAX_WAITING
+        assert most <= watch.MAX_WAITING_CONNECTIONS
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "served"
 
     play(*pair(), story=story)
@@ -230,7 +230,9 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "floods"), [(b"", watch.MAX_WAITING), (b"\n", 1)], ids=["before its first word", "after it"]
+    ("first", "floods"),
+    [(b"", watch.MAX_WAITING_CONNECTIONS), (b"\n", 1)],
+    ids=["before its first word", "after it"],
 )
 def test_a_flood_of_bytes_without_an_object_is_no_sign_of_life(first: bytes, floods: int) -> None:
     """A connection with unread bytes at each look was never given up."""
--- a/violetstack/daemon/daemon.py
+++ b/violetstack/daemon/daemon.py
@@ -146,7 +146,7 @@
         if self.fronts.certificate is not None:
             self.fronts.certificate.reload()
         if self.watch is not None and config.discovery is not None:
-            self.watch.move(config.discovery)
+            self.watch.change_address(config.discovery)
         generation = self.routing.current.number if self.routing is not None else 0
         log(
             "config_reloaded",
--- a/violetstack/daemon/endpoints.py
+++ b/violetstack/daemon/endpoints.py
@@ -149,8 +149,8 @@
         if self.watch is None or (self._config.settings.watch_required and not inherited):
             return
         with trio.move_on_after(FIRST_LIST_S if inherited else AGENT_LIST_S):
-            await self.watch.heard.wait()
-        if not self.watch.heard.is_set():
+            await self.watch.responded.wait()
+        if not self.watch.responded.is_set():
             log("endpoint_list_missing", hosts=len(self.messages))
 
     # --- updates ---
