--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -12,7 +12,7 @@
 from violetstack.core.attempts import MIN_CONNECT_TIMEOUT_MS
 from violetstack.core.dispatcher import Dispatcher
 from violetstack.core.errors import DuplicateRequestError
-from violetstack.core.held_state import MIN_DELIVERY_MS
+from violetstack.core.hold_manager import MIN_DELIVERY_MS
 from violetstack.core.records import Attempt, OpenRequest, ReleaseCall, ReservationCall
 from violetstack.core.remote_hold import HoldEvent
 from violetstack.policy_api import (
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -312,7 +312,7 @@
         on.daemon.hosts.pool.hosts.pop("w")  # the release has but one host to go to
         request = core.open_requests["q1"]
         request.hold.apply(0.0, HoldEvent.STATE_LEFT)
-        core._held.release(0.0, request)
+        core._hold_manager.release(0.0, request)
         await late.asked.wait()
         assert request.release is not None
         request.release.superseded = True  # as by a send
--- a/violetstack/core/attempts.py
+++ b/violetstack/core/attempts.py
@@ -4,11 +4,11 @@
 
 import math
 
-from violetstack.core.held_state import NOTHING_HELD_STATUSES, HeldState
+from violetstack.core.hold_manager import NOTHING_HELD_STATUSES, HoldManager
 from violetstack.core.lifecycle import RequestLifecycle
 from violetstack.core.records import Attempt, AttemptLogEntry, OpenRequest, RequestOutcome
 from violetstack.core.remote_hold import HoldEvent
-from violetstack.core.send_guard import SendGuard, Withheld
+from violetstack.core.send_guard import SendGuard, WithholdReason
 from violetstack.core.state import DispatcherState
 from violetstack.policy_api import (
     FAILURE_STATUSES,
@@ -22,20 +22,20 @@
 MIN_CONNECT_TIMEOUT_MS = 40.0
 
 
-class Attempts:
+class AttemptManager:
     """Starts, cancels and finishes attempts, and commits a request to the first that streams."""
 
     def __init__(
         self,
         state: DispatcherState,
         lifecycle: RequestLifecycle,
-        held: HeldState,
+        hold_manager: HoldManager,
     ) -> None:
         """Creates it for a dispatcher's state; `held` follows what hosts hold."""
         self._state = state
-        self._held = held
+        self._hold_manager = hold_manager
         self._lifecycle = lifecycle
-        self.guard = SendGuard(state, self.client_disconnected)
+        self.send_guard = SendGuard(state, self.client_disconnected)
 
     # --- what the policy decides ---
 
@@ -57,7 +57,7 @@
         )
         request.attempts_sent += 1
         request.in_flight[attempt.number] = attempt
-        if not self._note(attempt, self.guard.start(now, attempt)):
+        if not self._note(attempt, self.send_guard.start(now, attempt)):
             self.finished(now, attempt, AttemptStatus.ALREADY_FINISHED)
             return
         attempt.timer = state.timers.schedule(deadline, lambda at: self._timed_out(at, attempt))
@@ -83,14 +83,14 @@
 
     def may_send(self, now: float, attempt: Attempt) -> bool:
         """Returns whether the first byte of the attempt may be written now; see `SendGuard.first_byte`."""
-        return self._note(attempt, self.guard.first_byte(now, attempt))
+        return self._note(attempt, self.send_guard.first_byte(now, attempt))
 
     def may_continue_sending(self, now: float, attempt: Attempt) -> bool:
         """Returns whether a part of the attempt may be written now; asked in each step that writes one."""
-        return self._note(attempt, self.guard.next_bytes(now, attempt))
+        return self._note(attempt, self.send_guard.next_bytes(now, attempt))
 
     @staticmethod
-    def _note(attempt: Attempt, withheld: Withheld | None) -> bool:
+    def _note(attempt: Attempt, withheld: WithholdReason | None) -> bool:
         """Keeps the reason for the log, and returns whether there is none."""
         if withheld is not None:
             attempt.withheld = withheld.value
@@ -117,14 +117,14 @@
         A host frees the state held for a request some time after the request's last attempt. While one
         connection after the other does not come up nothing reaches a host, so that time must not be exceeded.
         """
-        left_ms = self._held.connect_timeout_ms(now, attempt.request)
+        left_ms = self._hold_manager.connect_timeout_ms(now, attempt.request)
         return math.inf if left_ms is None else max(MIN_CONNECT_TIMEOUT_MS, left_ms)
 
     def request_started(self, now: float, attempt: Attempt) -> None:
         """The first byte is being written: a release that is written later would release this one's state."""
         accepts_writes = self._state.endpoints.accepts_writes(attempt.server)
         self._state.invariants.first_byte(now, attempt, host_accepts_writes=accepts_writes)
-        self._held.superseded(attempt.request)
+        self._hold_manager.superseded(attempt.request)
 
     def request_written(self, now: float, attempt: Attempt) -> None:
         """The last byte may have left; called in the step that hands it to the kernel."""
@@ -154,7 +154,7 @@
         if state.load_shedder is not None:
             ratio = (now - request.arrived_at) / state.latency_objective_ms(request.policy_request)
             state.load_shedder.stream_started(now, ratio, request.policy_request.prompt_tokens)
-        self._held.stream_started(now, attempt)
+        self._hold_manager.stream_started(now, attempt)
         state.observe_attempt(attempt.server, now, well=True)
         state.notify(request.sink.stream_started)
         state.post(StreamStarted(request.id, attempt.server, attempt.number, now - attempt.sent_at))
@@ -196,7 +196,7 @@
         self._finish_request(now, attempt, status)
         if attempt.request_written and not attempt.is_prefill and status not in NOTHING_HELD_STATUSES:
             _record_execution(attempt)
-        self._held.attempt_ended(now, attempt, status)
+        self._hold_manager.attempt_ended(now, attempt, status)
         self._observe(now, attempt, status)
         if request.client_disconnected:
             # The policy is to hear of the request's end with this attempt's, or it would retry.
@@ -272,7 +272,7 @@
 
     def migrated(self, now: float, attempt: Attempt) -> None:
         """Another process took over the stream, and will release what hosts hold for its request."""
-        self._held.apply(now, attempt.request, HoldEvent.RELEASED)
+        self._hold_manager.apply(now, attempt.request, HoldEvent.RELEASED)
         self._lifecycle.finish(now, attempt.request, RequestOutcome.MIGRATED)
         self._state.post(ClientDisconnected(attempt.request.id))
         self.finished(now, attempt, AttemptStatus.CANCELLED)
--- a/violetstack/core/dispatcher.py
+++ b/violetstack/core/dispatcher.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from violetstack.core.attempts import Attempts
-from violetstack.core.held_state import HeldState
+from violetstack.core.attempts import AttemptManager
+from violetstack.core.hold_manager import HoldManager
 from violetstack.core.lifecycle import RequestLifecycle
 from violetstack.core.ports import (
     Driver,
@@ -21,7 +21,7 @@
 )
 from violetstack.core.records import Attempt, OpenRequest, ReleaseCall, RequestOutcome, ReservationCall
 from violetstack.core.remote_hold import HoldSummary, summarize
-from violetstack.core.reservations import Reservations
+from violetstack.core.reservations import ReservationManager
 from violetstack.core.state import DispatcherState
 from violetstack.policy_api import (
     Action,
@@ -110,10 +110,10 @@
         self.drain_grace_ms = drain_grace_ms
         self._max_unread = max_unread
         self._state = DispatcherState(settings, driver, wake)
-        self._held = HeldState(self._state, self._give_up_undelivered)
-        self._reservations = Reservations(self._state, self._held)
-        self._lifecycle = RequestLifecycle(self._state, self._held, retry_after)
-        self._attempts = Attempts(self._state, self._lifecycle, self._held)
+        self._hold_manager = HoldManager(self._state, self._give_up_undelivered)
+        self._reservations = ReservationManager(self._state, self._hold_manager)
+        self._lifecycle = RequestLifecycle(self._state, self._hold_manager, retry_after)
+        self._attempts = AttemptManager(self._state, self._lifecycle, self._hold_manager)
         self.open_requests = self._state.open_requests
         self.endpoints = self._state.endpoints.endpoints
         self.draining = self._state.endpoints.draining
@@ -254,11 +254,11 @@
 
         The host may have been listed as draining, or removed, since it was chosen.
         """
-        return self._attempts.guard.host(server) is None
+        return self._attempts.send_guard.host(server) is None
 
     def may_reserve(self, call: ReservationCall) -> bool:
         """Returns whether a slot may be asked for now; see `SendGuard.reservation`."""
-        return self._attempts.guard.reservation(call) is None
+        return self._attempts.send_guard.reservation(call) is None
 
     def may_send(self, now: float, attempt: Attempt) -> bool:
         """Returns whether the first byte of the attempt may be written now; see `Attempts.may_send`."""
@@ -315,7 +315,7 @@
 
     def release_finished(self, now: float, call: ReleaseCall, done: bool) -> None:
         """A release ended, or was given up if not `done`."""
-        self._held.release_finished(now, call, done)
+        self._hold_manager.release_finished(now, call, done)
 
     def holds(self, now: float) -> HoldSummary:
         """Counts what hosts may hold for open requests."""
@@ -401,7 +401,7 @@
                 if not request.done and self.settings.reserve_ahead:
                     self._reservations.reserve(request, action.server)
             case ReleaseState():
-                self._held.release(now, request)
+                self._hold_manager.release(now, request)
             case CancelAttempt():
                 attempt = request.in_flight.get(action.attempt)
                 if attempt is not None:
--- a/violetstack/core/held_state.py
+++ b/violetstack/core/hold_manager.py
@@ -37,7 +37,7 @@
 """Ends an attempt that its host has not acknowledged."""
 
 
-class HeldState:
+class HoldManager:
     """Applies events to the holds of requests, and releases what nobody takes over in time."""
 
     def __init__(self, state: DispatcherState, give_up: GiveUpUndelivered) -> None:
--- a/violetstack/core/lifecycle.py
+++ b/violetstack/core/lifecycle.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from violetstack.core.errors import DuplicateRequestError
-from violetstack.core.held_state import HeldState
+from violetstack.core.hold_manager import HoldManager
 from violetstack.core.ports import MigratedStream, RetryAfter, Sink
 from violetstack.core.records import Attempt, OpenRequest, RequestOutcome
 from violetstack.core.remote_hold import HoldEvent
@@ -16,10 +16,10 @@
 class RequestLifecycle:
     """Accepts requests, gives each exactly one final response, and closes its record."""
 
-    def __init__(self, state: DispatcherState, held: HeldState, retry_after: RetryAfter) -> None:
+    def __init__(self, state: DispatcherState, hold_manager: HoldManager, retry_after: RetryAfter) -> None:
         """Creates it for a dispatcher's state; `retry_after` adjusts the advice of rejections."""
         self._state = state
-        self._held = held
+        self._hold_manager = hold_manager
         self._retry_after = retry_after
 
     def accept(self, now: float, policy_request: Request, sink: Sink, payload: object) -> OpenRequest:
@@ -136,7 +136,7 @@
             return
         if request.hold.needs_release:
             # A reservation that is in flight needs one more release after it.
-            self._held.release(now, request)
+            self._hold_manager.release(now, request)
         elif request.release is None and not (request.reservations_in_flight or request.hold.may_be_held):
             self._close(now, request)
 
--- a/violetstack/core/reservations.py
+++ b/violetstack/core/reservations.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from violetstack.core.held_state import HeldState
+from violetstack.core.hold_manager import HoldManager
 from violetstack.core.records import (
     OpenRequest,
     ReservationCall,
@@ -14,13 +14,13 @@
 from violetstack.policy_api import ReservationResult
 
 
-class Reservations:
+class ReservationManager:
     """Makes reservations, and records what they may have left at hosts."""
 
-    def __init__(self, state: DispatcherState, held: HeldState) -> None:
+    def __init__(self, state: DispatcherState, hold_manager: HoldManager) -> None:
         """Creates it for a dispatcher's state; `held` follows what hosts hold."""
         self._state = state
-        self._held = held
+        self._hold_manager = hold_manager
 
     def reserve(self, request: OpenRequest, server: str) -> None:
         """Reserves a decode slot at the host, beside the prefill that is in flight."""
@@ -33,7 +33,7 @@
         """The last byte of a reservation was handed to the kernel: from now on a slot may be reserved."""
         call.written_at = now
         call.request.reservations_unanswered += 1
-        self._held.apply(now, call.request, HoldEvent.RESERVATION_WRITTEN)
+        self._hold_manager.apply(now, call.request, HoldEvent.RESERVATION_WRITTEN)
 
     def finished(
         self, now: float, call: ReservationCall, reserved: bool | None, nothing_reserved: bool
@@ -65,12 +65,12 @@
         attempt = call.attempt
         if nothing_reserved:
             if not request.reservations_unanswered:
-                self._held.apply(now, request, HoldEvent.SLOT_REFUSED)
+                self._hold_manager.apply(now, request, HoldEvent.SLOT_REFUSED)
         elif reserved and attempt is not None and not attempt.finished:
-            self._held.apply(now, request, HoldEvent.SLOT_CONFIRMED)
+            self._hold_manager.apply(now, request, HoldEvent.SLOT_CONFIRMED)
         elif request.committed_attempt is None or request.committed_attempt.finished:
-            self._held.apply(now, request, HoldEvent.SLOT_UNCERTAIN)
-            self._held.overtaken(now, request)
+            self._hold_manager.apply(now, request, HoldEvent.SLOT_UNCERTAIN)
+            self._hold_manager.overtaken(now, request)
         if reserved is None and not nothing_reserved:
             waited_ms = 0 if call.written_at is None else round(now - call.written_at)
             self._state.driver.log("reservation_uncertain", id=request.id, server=call.server, ms=waited_ms)
--- a/violetstack/core/send_guard.py
+++ b/violetstack/core/send_guard.py
@@ -16,7 +16,7 @@
 from violetstack.policy_api import ClassSettings
 
 
-class Withheld(StrEnum):
+class WithholdReason(StrEnum):
     """Why nothing is sent; the values are those of the log."""
 
     REQUEST_OVER = "request is over"
@@ -41,53 +41,53 @@
         self._state = state
         self._client_disconnected = client_disconnected
 
-    def start(self, now: float, attempt: Attempt) -> Withheld | None:
+    def start(self, now: float, attempt: Attempt) -> WithholdReason | None:
         """May the attempt be started?"""
         request = attempt.request
         settings = self._state.settings
         if not request.accepts_attempts:
-            return Withheld.REQUEST_OVER
+            return WithholdReason.REQUEST_OVER
         if attempt.endpoint is None:
-            return Withheld.HOST_UNLISTED
+            return WithholdReason.HOST_UNLISTED
         if len(request.in_flight) > 1 and not settings.hedging_allowed:
-            return Withheld.HEDGE
+            return WithholdReason.HEDGE
         if attempt.number >= settings.max_attempts:
-            return Withheld.ATTEMPTS
+            return WithholdReason.ATTEMPTS
         if attempt.deadline <= now:
-            return Withheld.DEADLINE
-        return None if may_execute(now, attempt, self._class_settings(request)) else Withheld.REPETITION
+            return WithholdReason.DEADLINE
+        return None if may_execute(now, attempt, self._class_settings(request)) else WithholdReason.REPETITION
 
-    def first_byte(self, now: float, attempt: Attempt) -> Withheld | None:
+    def first_byte(self, now: float, attempt: Attempt) -> WithholdReason | None:
         """May its first byte be written? Not to a host that drains."""
         withheld = self.next_bytes(now, attempt)
         if withheld is not None:
             return withheld
         return self.host(attempt.server)
 
-    def next_bytes(self, now: float, attempt: Attempt) -> Withheld | None:
+    def next_bytes(self, now: float, attempt: Attempt) -> WithholdReason | None:
         """May the rest, or a part of it, be written? A host that drains finishes what it has the begin of."""
         request = attempt.request
         if not attempt.finished and request.accepts_attempts and request.sink.client_gone():
             # The end of the connection may not have been read from the socket yet.
             self._client_disconnected(now, request)
         if request.client_disconnected:
-            return Withheld.CLIENT_GONE
+            return WithholdReason.CLIENT_GONE
         if attempt.finished or not request.accepts_attempts:
-            return Withheld.REQUEST_OVER
+            return WithholdReason.REQUEST_OVER
         if now >= attempt.deadline:
-            return Withheld.DEADLINE
+            return WithholdReason.DEADLINE
         if not request.sending_allowed():
-            return Withheld.CLAIM
-        return None if may_execute(now, attempt, self._class_settings(request)) else Withheld.REPETITION
+            return WithholdReason.CLAIM
+        return None if may_execute(now, attempt, self._class_settings(request)) else WithholdReason.REPETITION
 
-    def host(self, server: str) -> Withheld | None:
+    def host(self, server: str) -> WithholdReason | None:
         """May anything be written to the host?"""
         endpoints = self._state.endpoints
         if endpoints.accepts_writes(server):
             return None
-        return Withheld.HOST_DRAINING if server in endpoints.draining else Withheld.HOST_UNLISTED
+        return WithholdReason.HOST_DRAINING if server in endpoints.draining else WithholdReason.HOST_UNLISTED
 
-    def reservation(self, call: ReservationCall) -> Withheld | None:
+    def reservation(self, call: ReservationCall) -> WithholdReason | None:
         """May a slot be asked for? Only while the prefill attempt is out.
 
         Else the decode host knows of no state to wait for: it would answer 204 after 0.3 s, and a slot could
@@ -95,9 +95,9 @@
         """
         attempt = call.attempt
         if attempt is None or not attempt.request_written or attempt.finished:
-            return Withheld.PREFILL_ENDED
+            return WithholdReason.PREFILL_ENDED
         if call.request.done:
-            return Withheld.REQUEST_OVER
+            return WithholdReason.REQUEST_OVER
         return self.host(call.server)
 
     def _class_settings(self, request: OpenRequest) -> ClassSettings:
