--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -193,10 +193,10 @@
         host = self.fleet.hosts[attempt.server]
         self.clock.at(self.clock.now + 1.0, lambda: host.take(work))
 
-    def has_left(self, attempt: Attempt) -> bool:  # noqa: ARG002 - the driver's interface
+    def is_fully_sent(self, attempt: Attempt) -> bool:  # noqa: ARG002 - the driver's interface
         return True
 
-    def has_arrived(self, attempt: Attempt) -> bool:  # noqa: ARG002 - the driver's interface
+    def is_acknowledged(self, attempt: Attempt) -> bool:  # noqa: ARG002 - the driver's interface
         return True
 
     def abort_attempt(self, attempt: Attempt) -> None:
@@ -279,7 +279,7 @@
 
     def stream_broken(self) -> None: ...
 
-    def client_gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         return False
 
     def rejected(self, retry_after_ms: float) -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -59,10 +59,10 @@
     def start_attempt(self, attempt: Attempt) -> None:
         self.attempts.append(attempt)
 
-    def has_left(self, attempt: Attempt) -> bool:
+    def is_fully_sent(self, attempt: Attempt) -> bool:
         return attempt not in self.unacknowledged
 
-    def has_arrived(self, attempt: Attempt) -> bool:
+    def is_acknowledged(self, attempt: Attempt) -> bool:
         return attempt not in self.unacknowledged
 
     def abort_attempt(self, attempt: Attempt) -> None:
@@ -95,7 +95,7 @@
     def stream_broken(self) -> None:
         self.answers.append("stream_broken")
 
-    def client_gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         return self.gone
 
     def rejected(self, retry_after_ms: float) -> None:
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -157,7 +157,7 @@
     core.process_paused(0.0, 4000.0)
     core.run(5000.0)
     assert [type(event) for event in ports.events] == [ProcessPaused, EndpointUpdate, Request]
-    assert not core.may_write_to("w1")
+    assert not core.may_send_to("w1")
 
 
 def test_a_request_that_was_unread_until_its_deadline_is_rejected_at_once() -> None:
--- a/violetstack/core/attempts.py
+++ b/violetstack/core/attempts.py
@@ -50,14 +50,14 @@
             request,
             request.attempts_sent,
             server,
-            is_prefill=state.endpoints.only_prefills(server),
+            is_prefill=state.endpoints.is_prefill_host(server),
             sent_at=now,
             deadline=deadline,
             endpoint=state.endpoints.endpoints.get(server),
         )
         request.attempts_sent += 1
         request.in_flight[attempt.number] = attempt
-        if not self._note(attempt, self.send_guard.start(now, attempt)):
+        if not self._record_withheld(attempt, self.send_guard.check_start(now, attempt)):
             self.finished(now, attempt, AttemptStatus.ALREADY_FINISHED)
             return
         attempt.timer = state.timers.schedule(deadline, lambda at: self._timed_out(at, attempt))
@@ -67,7 +67,7 @@
         """Cancels an attempt, unless its stream has started."""
         if attempt.stream_started:
             return
-        written = attempt.request_written and self._state.driver.has_left(attempt)
+        written = attempt.request_written and self._state.driver.is_fully_sent(attempt)
         self._state.driver.abort_attempt(attempt)
         self.finished(now, attempt, AttemptStatus.CANCELLED if written else AttemptStatus.ALREADY_FINISHED)
 
@@ -75,26 +75,26 @@
         if attempt.finished or attempt.stream_started:
             return
         # What has not left has never run, however long the connection took; closing drops it.
-        written = attempt.request_written and self._state.driver.has_left(attempt)
+        written = attempt.request_written and self._state.driver.is_fully_sent(attempt)
         self._state.driver.abort_attempt(attempt)
         self.finished(now, attempt, AttemptStatus.TIMEOUT if written else AttemptStatus.CONNECT_FAILED)
 
     # --- what the driver asks and reports ---
 
     def may_send(self, now: float, attempt: Attempt) -> bool:
-        """Returns whether the first byte of the attempt may be written now; see `SendGuard.first_byte`."""
-        return self._note(attempt, self.send_guard.first_byte(now, attempt))
+        """Returns whether the first byte of the attempt may be written now; `SendGuard` decides."""
+        return self._record_withheld(attempt, self.send_guard.check_first_byte(now, attempt))
 
     def may_continue_sending(self, now: float, attempt: Attempt) -> bool:
         """Returns whether a part of the attempt may be written now; asked in each step that writes one."""
-        return self._note(attempt, self.send_guard.next_bytes(now, attempt))
+        return self._record_withheld(attempt, self.send_guard.check_next_bytes(now, attempt))
 
     @staticmethod
-    def _note(attempt: Attempt, withheld: WithholdReason | None) -> bool:
+    def _record_withheld(attempt: Attempt, withhold_reason: WithholdReason | None) -> bool:
         """Keeps the reason for the log, and returns whether there is none."""
-        if withheld is not None:
-            attempt.withheld = withheld.value
-        return withheld is None
+        if withhold_reason is not None:
+            attempt.withhold_reason = withhold_reason.value
+        return withhold_reason is None
 
     def withdraw_unsent(self, now: float, request: OpenRequest) -> None:
         """Ends attempts whose last byte has not left if nothing may be sent for the request any more.
@@ -106,7 +106,7 @@
             return
         driver = self._state.driver
         for attempt in list(request.in_flight.values()):
-            if attempt.stream_started or (attempt.request_written and driver.has_left(attempt)):
+            if attempt.stream_started or (attempt.request_written and driver.is_fully_sent(attempt)):
                 continue
             driver.abort_attempt(attempt)
             self.finished(now, attempt, AttemptStatus.ALREADY_FINISHED)
@@ -122,8 +122,8 @@
 
     def request_started(self, now: float, attempt: Attempt) -> None:
         """The first byte is being written: a release that is written later would release this one's state."""
-        accepts_writes = self._state.endpoints.accepts_writes(attempt.server)
-        self._state.invariants.first_byte(now, attempt, host_accepts_writes=accepts_writes)
+        accepts_requests = self._state.endpoints.accepts_requests(attempt.server)
+        self._state.invariants.first_byte(now, attempt, host_accepts_requests=accepts_requests)
         self._hold_manager.superseded(attempt.request)
 
     def request_written(self, now: float, attempt: Attempt) -> None:
@@ -280,8 +280,8 @@
 
 def _log_attempt(attempt: Attempt, status: AttemptStatus, duration_ms: float) -> None:
     """Keeps the attempt for its request's log line."""
-    withheld = attempt.withheld if status is AttemptStatus.ALREADY_FINISHED else ""
-    entry = AttemptLogEntry(attempt.server, status, round(duration_ms), withheld)
+    withhold_reason = attempt.withhold_reason if status is AttemptStatus.ALREADY_FINISHED else ""
+    entry = AttemptLogEntry(attempt.server, status, round(duration_ms), withhold_reason)
     attempt.request.attempt_log.append(entry)
 
 
--- a/violetstack/core/dispatcher.py
+++ b/violetstack/core/dispatcher.py
@@ -249,16 +249,16 @@
 
     # --- what the driver asks and reports ---
 
-    def may_write_to(self, server: str) -> bool:
+    def may_send_to(self, server: str) -> bool:
         """Returns whether a first byte may be written to the host now; asked in the step that writes it.
 
         The host may have been listed as draining, or removed, since it was chosen.
         """
-        return self._attempts.send_guard.host(server) is None
+        return self._attempts.send_guard.check_host(server) is None
 
     def may_reserve(self, call: ReservationCall) -> bool:
-        """Returns whether a slot may be asked for now; see `SendGuard.reservation`."""
-        return self._attempts.send_guard.reservation(call) is None
+        """Returns whether a slot may be asked for now; see `SendGuard.check_reservation`."""
+        return self._attempts.send_guard.check_reservation(call) is None
 
     def may_send(self, now: float, attempt: Attempt) -> bool:
         """Returns whether the first byte of the attempt may be written now; see `Attempts.may_send`."""
--- a/violetstack/core/endpoint_table.py
+++ b/violetstack/core/endpoint_table.py
@@ -35,11 +35,11 @@
                 del self.endpoints[endpoint.server]
         self.draining.intersection_update(self.endpoints)
 
-    def accepts_writes(self, server: str) -> bool:
+    def accepts_requests(self, server: str) -> bool:
         """Returns whether the host is listed and not draining."""
         return server in self.endpoints and server not in self.draining
 
-    def only_prefills(self, server: str) -> bool:
+    def is_prefill_host(self, server: str) -> bool:
         """Returns whether the host is listed as one that prefills prompts and decodes none."""
         endpoint = self.endpoints.get(server)
         if endpoint is None or endpoint.kind >= len(self._roles):
--- a/violetstack/core/hold_manager.py
+++ b/violetstack/core/hold_manager.py
@@ -96,7 +96,7 @@
             return
         self._log_unclaimed(now, request)
         for attempt in list(request.in_flight.values()):
-            if attempt.awaits_response and not self._state.driver.has_arrived(attempt):
+            if attempt.awaits_response and not self._state.driver.is_acknowledged(attempt):
                 self._give_up(now, attempt)
         if request.hold.since is None:
             return  # the end of the last attempt settled it
--- a/violetstack/core/invariants.py
+++ b/violetstack/core/invariants.py
@@ -74,10 +74,10 @@
 
     # --- sending ---
 
-    def first_byte(self, now: float, attempt: Attempt, *, host_accepts_writes: bool) -> None:
+    def first_byte(self, now: float, attempt: Attempt, *, host_accepts_requests: bool) -> None:
         """The first byte of an attempt is written in this step."""
         request = attempt.request
-        if not host_accepts_writes:
+        if not host_accepts_requests:
             self._violated(Rule.DRAIN, request, attempt, "the host is draining or removed")
         if not request.accepts_attempts:
             self._violated(Rule.LOST, request, attempt, "sent for a request that is over")
--- a/violetstack/core/ports.py
+++ b/violetstack/core/ports.py
@@ -45,7 +45,7 @@
     def failed(self, may_have_run: bool) -> None:
         """The request failed; `may_have_run` says whether a host may have executed it."""
 
-    def client_gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Returns whether the client has closed its connection by now, or has its response."""
 
 
@@ -169,10 +169,10 @@
     def abort_attempt(self, attempt: Attempt) -> None:
         """Stops the attempt; the driver reports nothing more of it."""
 
-    def has_left(self, attempt: Attempt) -> bool:
+    def is_fully_sent(self, attempt: Attempt) -> bool:
         """Returns whether the last byte has left this machine; True where that is not known."""
 
-    def has_arrived(self, attempt: Attempt) -> bool:
+    def is_acknowledged(self, attempt: Attempt) -> bool:
         """Returns whether the host has acknowledged all that was written; True where that is not known."""
 
     def reserve_decode_slot(self, call: ReservationCall) -> None:
--- a/violetstack/core/records.py
+++ b/violetstack/core/records.py
@@ -60,7 +60,7 @@
     def failed(self, may_have_run: bool) -> None:
         """Does nothing."""
 
-    def client_gone(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Returns True: the client has its response."""
         return True
 
@@ -74,12 +74,12 @@
     server: str
     status: AttemptStatus
     duration_ms: int
-    withheld: str = ""
+    withhold_reason: str = ""
 
     def as_row(self) -> tuple[str | int, ...]:
         """Returns the entry as the log has it: host, status, milliseconds, and why it was withheld."""
         row = (self.server, self.status.value, self.duration_ms)
-        return (*row, self.withheld) if self.withheld else row
+        return (*row, self.withhold_reason) if self.withhold_reason else row
 
 
 class ReservationLogEntry(msgspec.Struct, frozen=True):
@@ -128,7 +128,7 @@
     request_written: bool = False
     first_byte_at: float = 0.0
     written_at: float = 0.0
-    withheld: str = ""
+    withhold_reason: str = ""
     stream_started: bool = False
     events_forwarded: int = 0
     answered: bool = False
--- a/violetstack/core/send_guard.py
+++ b/violetstack/core/send_guard.py
@@ -20,7 +20,7 @@
     """Why nothing is sent; the values are those of the log."""
 
     REQUEST_OVER = "request is over"
-    CLIENT_GONE = "client has gone"
+    CLIENT_DISCONNECTED = "client has gone"
     DEADLINE = "time is up"
     HOST_UNLISTED = "host is not listed"
     HOST_DRAINING = "host drains"
@@ -41,7 +41,7 @@
         self._state = state
         self._client_disconnected = client_disconnected
 
-    def start(self, now: float, attempt: Attempt) -> WithholdReason | None:
+    def check_start(self, now: float, attempt: Attempt) -> WithholdReason | None:
         """May the attempt be started?"""
         request = attempt.request
         settings = self._state.settings
@@ -57,21 +57,21 @@
             return WithholdReason.DEADLINE
         return None if may_execute(now, attempt, self._class_settings(request)) else WithholdReason.REPETITION
 
-    def first_byte(self, now: float, attempt: Attempt) -> WithholdReason | None:
+    def check_first_byte(self, now: float, attempt: Attempt) -> WithholdReason | None:
         """May its first byte be written? Not to a host that drains."""
-        withheld = self.next_bytes(now, attempt)
+        withheld = self.check_next_bytes(now, attempt)
         if withheld is not None:
             return withheld
-        return self.host(attempt.server)
+        return self.check_host(attempt.server)
 
-    def next_bytes(self, now: float, attempt: Attempt) -> WithholdReason | None:
+    def check_next_bytes(self, now: float, attempt: Attempt) -> WithholdReason | None:
         """May the rest, or a part of it, be written? A host that drains finishes what it has the begin of."""
         request = attempt.request
-        if not attempt.finished and request.accepts_attempts and request.sink.client_gone():
+        if not attempt.finished and request.accepts_attempts and request.sink.client_disconnected():
             # The end of the connection may not have been read from the socket yet.
             self._client_disconnected(now, request)
         if request.client_disconnected:
-            return WithholdReason.CLIENT_GONE
+            return WithholdReason.CLIENT_DISCONNECTED
         if attempt.finished or not request.accepts_attempts:
             return WithholdReason.REQUEST_OVER
         if now >= attempt.deadline:
@@ -80,14 +80,14 @@
             return WithholdReason.CLAIM
         return None if may_execute(now, attempt, self._class_settings(request)) else WithholdReason.REPETITION
 
-    def host(self, server: str) -> WithholdReason | None:
+    def check_host(self, server: str) -> WithholdReason | None:
         """May anything be written to the host?"""
         endpoints = self._state.endpoints
-        if endpoints.accepts_writes(server):
+        if endpoints.accepts_requests(server):
             return None
         return WithholdReason.HOST_DRAINING if server in endpoints.draining else WithholdReason.HOST_UNLISTED
 
-    def reservation(self, call: ReservationCall) -> WithholdReason | None:
+    def check_reservation(self, call: ReservationCall) -> WithholdReason | None:
         """May a slot be asked for? Only while the prefill attempt is out.
 
         Else the decode host knows of no state to wait for: it would answer 204 after 0.3 s, and a slot could
@@ -98,7 +98,7 @@
             return WithholdReason.PREFILL_ENDED
         if call.request.done:
             return WithholdReason.REQUEST_OVER
-        return self.host(call.server)
+        return self.check_host(call.server)
 
     def _class_settings(self, request: OpenRequest) -> ClassSettings:
         return self._state.settings.classes[request.policy_request.class_index]
--- a/violetstack/net/upstream/attempts.py
+++ b/violetstack/net/upstream/attempts.py
@@ -110,12 +110,12 @@
             running.connection.abort()
         running.scope.cancel()
 
-    def has_left(self, attempt: Attempt) -> bool:
+    def is_fully_sent(self, attempt: Attempt) -> bool:
         """Whether the attempt's last byte has left this machine, as far as is known."""
         connection = self.connection_of(attempt)
         return connection is None or not connection.unsent_bytes()
 
-    def has_arrived(self, attempt: Attempt) -> bool:
+    def is_acknowledged(self, attempt: Attempt) -> bool:
         """Whether the host has acknowledged all that was written for the attempt, as far as is known."""
         connection = self.connection_of(attempt)
         return connection is None or not connection.unacknowledged_bytes()
--- a/violetstack/net/upstream/driver.py
+++ b/violetstack/net/upstream/driver.py
@@ -59,13 +59,13 @@
         """Closes the attempt's connection at once."""
         self.attempts.abort(attempt)
 
-    def has_left(self, attempt: Attempt) -> bool:
+    def is_fully_sent(self, attempt: Attempt) -> bool:
         """Whether the attempt's last byte has left this machine, as far as is known."""
-        return self.attempts.has_left(attempt)
+        return self.attempts.is_fully_sent(attempt)
 
-    def has_arrived(self, attempt: Attempt) -> bool:
+    def is_acknowledged(self, attempt: Attempt) -> bool:
         """Whether the host has acknowledged all that was written for the attempt, as far as is known."""
-        return self.attempts.has_arrived(attempt)
+        return self.attempts.is_acknowledged(attempt)
 
     def reserve_decode_slot(self, call: ReservationCall) -> None:
         """Starts a reservation call."""
--- a/violetstack/net/upstream/health_check.py
+++ b/violetstack/net/upstream/health_check.py
@@ -35,7 +35,7 @@
         report = None
         try:
             with trio.move_on_after(CALL_TIMEOUT_S):
-                connection = await self._pool.acquire(server, lambda: self._core.may_write_to(server))
+                connection = await self._pool.acquire(server, lambda: self._core.may_send_to(server))
                 if connection is None:
                     return
                 head = await short_call(self._pool, connection, "GET", "/-/load")
