--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -12,7 +12,7 @@
 from violetstack.core.attempts import MIN_CONNECT_TIMEOUT_MS
 from violetstack.core.dispatcher import Dispatcher
 from violetstack.core.errors import DuplicateRequestError
-from violetstack.core.hold_manager import MIN_DELIVERY_MS
+from violetstack.core.hold_manager import MAX_DELIVERY_MS
 from violetstack.core.records import Attempt, OpenRequest, ReleaseCall, ReservationCall
 from violetstack.core.remote_hold import HoldEvent
 from violetstack.policy_api import (
@@ -249,7 +249,7 @@
     harness.core.release_finished(harness.now, harness.ports.releases[0], True)
     assert harness.request.hold.may_be_held
     harness.core.release_finished(harness.now, harness.ports.releases[1], True)
-    harness.run(after=MIN_DELIVERY_MS)
+    harness.run(after=MAX_DELIVERY_MS)
     assert len(harness.ports.releases) == 3  # the second may have overtaken the end of the prefill
     harness.core.release_finished(harness.now, harness.ports.releases[2], True)
     assert not harness.request.hold.may_be_held
@@ -264,7 +264,7 @@
     harness.run(RejectRequest("q", 0.0))
     assert len(harness.ports.releases) == 1
     harness.core.release_finished(harness.now, harness.ports.releases[0], True)
-    harness.run(after=MIN_DELIVERY_MS - 1.0)
+    harness.run(after=MAX_DELIVERY_MS - 1.0)
     assert len(harness.ports.releases) == 1
     assert harness.core.open_requests
     harness.run(after=1.0)
--- a/tests/test_remote_hold.py
+++ b/tests/test_remote_hold.py
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize(
     ("events", "state", "since"),
     [
-        ((HoldEvent.RESERVATION_WRITTEN,), HoldState.ASKED, 100.0),
+        ((HoldEvent.RESERVATION_WRITTEN,), HoldState.RESERVATION_UNANSWERED, 100.0),
         ((HoldEvent.RESERVATION_WRITTEN, HoldEvent.SLOT_CONFIRMED), HoldState.CLAIMED, None),
         ((HoldEvent.RESERVATION_WRITTEN, HoldEvent.SLOT_UNCERTAIN), HoldState.UNCLAIMED, 100.0),
         ((HoldEvent.RESERVATION_WRITTEN, HoldEvent.SLOT_REFUSED), HoldState.NOTHING, None),
@@ -86,7 +86,7 @@
     events: tuple[HoldEvent, ...], state: HoldState, since: float | None
 ) -> None:
     hold = hold_after(*events)
-    assert (hold.state, hold.since) == (state, since)
+    assert (hold.state, hold.unclaimed_since) == (state, since)
 
 
 def test_the_summary_has_the_number_of_holds_and_the_age_of_the_oldest() -> None:
--- a/violetstack/core/attempts.py
+++ b/violetstack/core/attempts.py
@@ -124,7 +124,7 @@
         """The first byte is being written: a release that is written later would release this one's state."""
         accepts_requests = self._state.endpoints.accepts_requests(attempt.server)
         self._state.invariants.first_byte(now, attempt, host_accepts_requests=accepts_requests)
-        self._hold_manager.superseded(attempt.request)
+        self._hold_manager.mark_release_superseded(attempt.request)
 
     def request_written(self, now: float, attempt: Attempt) -> None:
         """The last byte may have left; called in the step that hands it to the kernel."""
--- a/violetstack/core/dispatcher.py
+++ b/violetstack/core/dispatcher.py
@@ -317,7 +317,7 @@
         """A release ended, or was given up if not `done`."""
         self._hold_manager.release_finished(now, call, done)
 
-    def holds(self, now: float) -> HoldSummary:
+    def hold_summary(self, now: float) -> HoldSummary:
         """Counts what hosts may hold for open requests."""
         return summarize((request.hold for request in self.open_requests.values()), now)
 
--- a/violetstack/core/invariants.py
+++ b/violetstack/core/invariants.py
@@ -115,7 +115,7 @@
 
     def held_too_long(self, now: float, request: OpenRequest) -> None:
         """Called while something is held that should have been taken over or released by now."""
-        since = request.hold.since
+        since = request.hold.unclaimed_since
         if since is not None and self._paused_until < since:
             held_ms = now - since
             detail = f"{request.hold.state.value} for {held_ms:.0f} ms after '{request.hold.cause}'"
--- a/violetstack/core/records.py
+++ b/violetstack/core/records.py
@@ -170,9 +170,9 @@
     """
 
     request: OpenRequest
-    since: float
+    started_at: float
     superseded: bool = False
-    beside: frozenset[int] = frozenset()
+    attempts_at_start: frozenset[int] = frozenset()
 
 
 def always() -> bool:
@@ -231,7 +231,7 @@
     may_have_run: bool = False
     first_run_at: float = 0.0
     first_run_endpoint: Endpoint | None = None
-    closed_at: float = float("-inf")
+    attempt_closed_at: float = float("-inf")
     hold: RemoteHold = msgspec.field(default_factory=RemoteHold)
     hold_timer: Timer | None = None
     reservations_in_flight: int = 0
--- a/violetstack/core/remote_hold.py
+++ b/violetstack/core/remote_hold.py
@@ -23,7 +23,7 @@
     """What hosts may hold; the values are those of the log and of the admin API."""
 
     NOTHING = "nothing"
-    ASKED = "asked"
+    RESERVATION_UNANSWERED = "asked"
     """A reservation was written and is not answered yet; apart from it nothing is held."""
     UNCLAIMED = "unclaimed"
     """Something may be held, and no attempt is known to have begun that takes it over."""
@@ -90,22 +90,22 @@
 
 _NOTHING_HELD = Transition(HoldState.NOTHING, ClockEffect.STOPS)
 _CLAIMED = Transition(HoldState.CLAIMED, ClockEffect.STOPS)
-_ASKED = Transition(HoldState.ASKED, ClockEffect.STARTS)
+_RESERVATION_UNANSWERED = Transition(HoldState.RESERVATION_UNANSWERED, ClockEffect.STARTS)
 _UNCLAIMED = Transition(HoldState.UNCLAIMED, ClockEffect.STARTS)
 _UNCLAIMED_FROM_NOW = Transition(HoldState.UNCLAIMED, ClockEffect.RESTARTS)
 _SETTLING = Transition(HoldState.SETTLING, ClockEffect.KEEPS)
 
 TRANSITIONS: dict[HoldEvent, dict[HoldState, Transition]] = {
     HoldEvent.RESERVATION_WRITTEN: {
-        HoldState.NOTHING: _ASKED,
-        HoldState.ASKED: _ASKED,
+        HoldState.NOTHING: _RESERVATION_UNANSWERED,
+        HoldState.RESERVATION_UNANSWERED: _RESERVATION_UNANSWERED,
         HoldState.UNCLAIMED: _UNCLAIMED,
         HoldState.CLAIMED: _UNCLAIMED,
-        HoldState.SETTLING: _ASKED,  # a second reservation gives the first one up
+        HoldState.SETTLING: _RESERVATION_UNANSWERED,  # a second reservation gives the first one up
     },
     HoldEvent.SLOT_CONFIRMED: {
         HoldState.NOTHING: _UNCLAIMED,  # it overtook a release
-        HoldState.ASKED: _CLAIMED,
+        HoldState.RESERVATION_UNANSWERED: _CLAIMED,
         HoldState.UNCLAIMED: _UNCLAIMED,  # there is more than the slot
         HoldState.CLAIMED: _CLAIMED,
         HoldState.SETTLING: _UNCLAIMED,
@@ -113,7 +113,7 @@
     HoldEvent.SLOT_UNCERTAIN: _all_to(_UNCLAIMED),
     HoldEvent.SLOT_REFUSED: {
         HoldState.NOTHING: _NOTHING_HELD,
-        HoldState.ASKED: _NOTHING_HELD,
+        HoldState.RESERVATION_UNANSWERED: _NOTHING_HELD,
         HoldState.UNCLAIMED: _UNCLAIMED,
         HoldState.CLAIMED: _CLAIMED,
         HoldState.SETTLING: _SETTLING,
@@ -122,14 +122,14 @@
     HoldEvent.STATE_UNCERTAIN: _all_to(_UNCLAIMED),
     HoldEvent.ATTEMPT_ENDED: {
         HoldState.NOTHING: _NOTHING_HELD,
-        HoldState.ASKED: Transition(HoldState.ASKED, ClockEffect.RESTARTS),
+        HoldState.RESERVATION_UNANSWERED: Transition(HoldState.RESERVATION_UNANSWERED, ClockEffect.RESTARTS),
         HoldState.UNCLAIMED: _UNCLAIMED_FROM_NOW,
         HoldState.CLAIMED: _UNCLAIMED_FROM_NOW,
         HoldState.SETTLING: _SETTLING,
     },
     HoldEvent.ATTEMPT_GIVEN_UP: {
         HoldState.NOTHING: _NOTHING_HELD,
-        HoldState.ASKED: _ASKED,
+        HoldState.RESERVATION_UNANSWERED: _RESERVATION_UNANSWERED,
         HoldState.UNCLAIMED: _UNCLAIMED,
         HoldState.CLAIMED: _UNCLAIMED,
         HoldState.SETTLING: _SETTLING,
@@ -139,7 +139,9 @@
     HoldEvent.RELEASED: _all_to(_NOTHING_HELD),
     HoldEvent.RELEASED_EARLY: _all_to(Transition(HoldState.SETTLING, ClockEffect.RESTARTS)),
     HoldEvent.RELEASED_BESIDE_ATTEMPT: _all_to(_CLAIMED),
-    HoldEvent.RELEASED_BEFORE_ANSWER: _all_to(Transition(HoldState.ASKED, ClockEffect.RESTARTS)),
+    HoldEvent.RELEASED_BEFORE_ANSWER: _all_to(
+        Transition(HoldState.RESERVATION_UNANSWERED, ClockEffect.RESTARTS)
+    ),
     HoldEvent.ABANDONED: _all_to(_NOTHING_HELD),
 }
 """By event and the state before it."""
@@ -155,7 +157,7 @@
     """
 
     state: HoldState = HoldState.NOTHING
-    since: float | None = None
+    unclaimed_since: float | None = None
     cause: HoldEvent | None = None
 
     def apply(self, now: float, event: HoldEvent) -> None:
@@ -164,15 +166,15 @@
         self.state = transition.state
         match transition.clock:
             case ClockEffect.STOPS:
-                self.since = None
+                self.unclaimed_since = None
                 self.cause = None
             case ClockEffect.RESTARTS:
                 self._start(now, event)
-            case ClockEffect.STARTS if self.since is None:
+            case ClockEffect.STARTS if self.unclaimed_since is None:
                 self._start(now, event)
 
     def _start(self, now: float, event: HoldEvent) -> None:
-        self.since = now
+        self.unclaimed_since = now
         self.cause = event
 
     @property
@@ -187,7 +189,7 @@
 
     def unclaimed_ms(self, now: float) -> float:
         """Returns for how long the clock has run; 0 while it stands still."""
-        return 0.0 if self.since is None else now - self.since
+        return 0.0 if self.unclaimed_since is None else now - self.unclaimed_since
 
 
 class HoldSummary(msgspec.Struct, frozen=True):
@@ -207,5 +209,5 @@
 def summarize(holds: Iterable[RemoteHold], now: float) -> HoldSummary:
     """Counts holds."""
     some = [hold for hold in holds if hold.may_be_held]
-    ages_ms = [hold.unclaimed_ms(now) for hold in some if hold.since is not None]
+    ages_ms = [hold.unclaimed_ms(now) for hold in some if hold.unclaimed_since is not None]
     return HoldSummary(len(some), len(ages_ms), round(max(ages_ms, default=0.0)))
--- a/violetstack/core/reservations.py
+++ b/violetstack/core/reservations.py
@@ -70,7 +70,7 @@
             self._hold_manager.apply(now, request, HoldEvent.SLOT_CONFIRMED)
         elif request.committed_attempt is None or request.committed_attempt.finished:
             self._hold_manager.apply(now, request, HoldEvent.SLOT_UNCERTAIN)
-            self._hold_manager.overtaken(now, request)
+            self._hold_manager.repeat_release(now, request)
         if reserved is None and not nothing_reserved:
             waited_ms = 0 if call.written_at is None else round(now - call.written_at)
             self._state.driver.log("reservation_uncertain", id=request.id, server=call.server, ms=waited_ms)
--- a/violetstack/net/admin_service.py
+++ b/violetstack/net/admin_service.py
@@ -108,7 +108,7 @@
             {rule.value: violations[rule] for rule in Rule},
             dropped_lines(),
             {kind.value: self._closes_violating(kind) for kind in Violation},
-            self._daemon.core.holds(now_ms()),
+            self._daemon.core.hold_summary(now_ms()),
         )
 
     def _closes_violating(self, kind: Violation) -> int:
--- a/violetstack/net/upstream/state_release.py
+++ b/violetstack/net/upstream/state_release.py
@@ -92,7 +92,7 @@
     def _taken(self, call: ReleaseCall, server: str) -> None:
         """The core hears of it before an attempt that waits for the release is written, and supersedes it."""
         now = now_ms()
-        log_rate_limited("release_taken", id=call.request.id, server=server, ms=round(now - call.since))
+        log_rate_limited("release_taken", id=call.request.id, server=server, ms=round(now - call.started_at))
         self._core.release_finished(now, call, True)
 
     def _best_host(self, request: OpenRequest, tried: set[str]) -> str | None:
