--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -140,7 +140,7 @@
         if late:
             on.daemon.core.open_requests[
                 "q1"
-            ].first_run_at -= 5000.0  # as if the connection had taken that long
+            ].first_execution_at -= 5000.0  # as if the connection had taken that long
         again.up.set()
         answer = await call.receive()
         assert (answer.outcome, len(writer.begun)) == (("refused", 1) if late else ("served", 2))
--- a/violetstack/core/attempts.py
+++ b/violetstack/core/attempts.py
@@ -123,13 +123,13 @@
     def request_started(self, now: float, attempt: Attempt) -> None:
         """The first byte is being written: a release that is written later would release this one's state."""
         accepts_requests = self._state.endpoints.accepts_requests(attempt.server)
-        self._state.invariants.first_byte(now, attempt, host_accepts_requests=accepts_requests)
+        self._state.invariants.check_first_byte(now, attempt, host_accepts_requests=accepts_requests)
         self._hold_manager.mark_release_superseded(attempt.request)
 
     def request_written(self, now: float, attempt: Attempt) -> None:
         """The last byte may have left; called in the step that hands it to the kernel."""
         state = self._state
-        state.invariants.last_byte(now, attempt)
+        state.invariants.check_last_byte(now, attempt)
         attempt.request_written = True
         attempt.written_at = now
         state.metrics.requests_written += 1
@@ -192,7 +192,7 @@
         state = self._state
         self._take_out_of_flight(attempt)
         if status in NOTHING_HELD_STATUSES:
-            state.invariants.attempt_not_executed(attempt)
+            state.invariants.discard_execution(attempt)
         self._finish_request(now, attempt, status)
         if attempt.request_written and not attempt.is_prefill and status not in NOTHING_HELD_STATUSES:
             _record_execution(attempt)
@@ -288,7 +288,7 @@
 def _record_execution(attempt: Attempt) -> None:
     """Records that a host may have executed the request."""
     request = attempt.request
-    if not request.may_have_run or attempt.sent_at < request.first_run_at:
-        request.first_run_at = attempt.sent_at
-        request.first_run_endpoint = attempt.endpoint
+    if not request.may_have_run or attempt.sent_at < request.first_execution_at:
+        request.first_execution_at = attempt.sent_at
+        request.first_execution_endpoint = attempt.endpoint
     request.may_have_run = True
--- a/violetstack/core/execution.py
+++ b/violetstack/core/execution.py
@@ -29,13 +29,13 @@
         return True
     if spec.idempotency is Idempotency.NON_IDEMPOTENT or now >= first.sent_at + spec.deduplication_window_ms:
         return False
-    return share_records(first.endpoint, attempt.endpoint, spec.deduplication_scope)
+    return share_deduplication_records(first.endpoint, attempt.endpoint, spec.deduplication_scope)
 
 
 def _earlier_executions(attempt: Attempt) -> Iterator[Execution]:
     request = attempt.request
     if request.may_have_run:
-        yield Execution(request.first_run_at, request.first_run_endpoint)
+        yield Execution(request.first_execution_at, request.first_execution_endpoint)
     for other in request.in_flight.values():
         # Of two that are both unwritten, the later one gives way.
         precedes = other.request_written or other.number < attempt.number
@@ -43,7 +43,9 @@
             yield Execution(other.sent_at, other.endpoint)
 
 
-def share_records(first: Endpoint | None, second: Endpoint | None, scope: DeduplicationScope) -> bool:
+def share_deduplication_records(
+    first: Endpoint | None, second: Endpoint | None, scope: DeduplicationScope
+) -> bool:
     """Returns whether the second host drops a repetition of what the first has executed."""
     if scope is DeduplicationScope.ALL:
         return True
--- a/violetstack/core/hold_manager.py
+++ b/violetstack/core/hold_manager.py
@@ -145,7 +145,7 @@
     def _release_overdue(self, now: float, request: OpenRequest) -> None:
         """Nobody has taken over or released what is held."""
         request.hold_timer = None
-        self._state.invariants.held_too_long(now, request)
+        self._state.invariants.record_release_overdue(now, request)
 
     # --- releases ---
 
@@ -200,7 +200,7 @@
     def _apply_release_result(self, now: float, call: ReleaseCall, done: bool) -> None:
         request = call.request
         if not done:
-            self._state.invariants.release_abandoned(request)
+            self._state.invariants.record_release_abandoned(request)
             self._state.driver.log("release_abandoned", id=request.id)
             self.apply(now, request, HoldEvent.ABANDONED)
         elif _is_outdated(call):
--- a/violetstack/core/lifecycle.py
+++ b/violetstack/core/lifecycle.py
@@ -103,12 +103,12 @@
     def finish_failed(self, now: float, request: OpenRequest, outcome: RequestOutcome) -> None:
         """Ends the request, and answers that it failed."""
         self.finish(now, request, outcome)
-        self._state.notify(request.sink.failed, request.possibly_executed)
+        self._state.notify(request.sink.failed, request.may_have_run_or_is_running)
 
     def finish(self, now: float, request: OpenRequest, outcome: RequestOutcome) -> None:
         """Ends the request: its final response is decided, or its client is gone."""
         state = self._state
-        state.invariants.answered(now, request, outcome)
+        state.invariants.check_final_response(now, request, outcome)
         request.done = True
         request.outcome = outcome
         request.answered_at = now
@@ -141,7 +141,7 @@
             self._close(now, request)
 
     def _close(self, now: float, request: OpenRequest) -> None:
-        self._state.invariants.closed(request)
+        self._state.invariants.check_closed(request)
         self._state.timers.cancel(request.hold_timer)
         self._state.open_requests.pop(request.id, None)
         request.close()
--- a/violetstack/core/records.py
+++ b/violetstack/core/records.py
@@ -92,8 +92,8 @@
 class WrittenExecution(NamedTuple):
     """An attempt with an effect whose last byte was written: its number, when that was, and where to."""
 
-    attempt: int
-    at: float
+    attempt_number: int
+    written_at: float
     endpoint: Endpoint | None
 
 
@@ -175,7 +175,7 @@
     attempts_at_start: frozenset[int] = frozenset()
 
 
-def always() -> bool:
+def always_allowed() -> bool:
     """Returns True."""
     return True
 
@@ -224,13 +224,13 @@
     in_flight: dict[int, Attempt] = {}
     attempts_sent: int = 0
     committed_attempt: Attempt | None = None
-    sending_allowed: Callable[[], bool] = always
+    sending_allowed: Callable[[], bool] = always_allowed
     survives_disconnect: bool = False
     client_disconnected: bool = False
     done: bool = False
     may_have_run: bool = False
-    first_run_at: float = 0.0
-    first_run_endpoint: Endpoint | None = None
+    first_execution_at: float = 0.0
+    first_execution_endpoint: Endpoint | None = None
     attempt_closed_at: float = float("-inf")
     hold: RemoteHold = msgspec.field(default_factory=RemoteHold)
     hold_timer: Timer | None = None
@@ -266,11 +266,11 @@
         return any(each.request_written and not each.is_prefill for each in self.in_flight.values())
 
     @property
-    def possibly_executed(self) -> bool:
+    def may_have_run_or_is_running(self) -> bool:
         """Whether a host may have executed the request, or may be executing it."""
         return self.may_have_run or self.executing
 
-    def silent_hosts(self) -> set[str]:
+    def unresponsive_hosts(self) -> set[str]:
         """Returns the hosts that have not answered an attempt of this request, so far or at all."""
         silent = {attempt.server for attempt in self.in_flight.values() if attempt.awaits_response}
         silent.update(entry.server for entry in self.attempt_log if entry.status is AttemptStatus.TIMEOUT)
--- a/violetstack/fronts/chat.py
+++ b/violetstack/fronts/chat.py
@@ -16,7 +16,7 @@
 from violetstack.core.dispatcher import Dispatcher
 from violetstack.core.errors import NotRoutedError
 from violetstack.core.ports import Origin, Shed
-from violetstack.core.records import always
+from violetstack.core.records import always_allowed
 from violetstack.fronts import chat_errors
 from violetstack.fronts.chat_errors import JSON, ErrorResponse, InvalidChatRequestError, retry_headers
 from violetstack.fronts.chat_sink import ChatSink, RecordOutcome, replay
@@ -275,7 +275,7 @@
         *,
         survives_disconnect: bool = False,
         claim_ms: float = 0.0,
-        sending_allowed: Callable[[], bool] = always,
+        sending_allowed: Callable[[], bool] = always_allowed,
     ) -> None:
         """Gives the request to the core.
 
--- a/violetstack/net/downstream/connection.py
+++ b/violetstack/net/downstream/connection.py
@@ -370,7 +370,7 @@
             return
         request = self.request
         self.request = None
-        may_have_run = request is not None and request.possibly_executed
+        may_have_run = request is not None and request.may_have_run_or_is_running
         if request is not None:
             self.listener.core.client_disconnected(now_ms(), request)
         if self.life.answering:
--- a/violetstack/net/upstream/connection.py
+++ b/violetstack/net/upstream/connection.py
@@ -12,7 +12,7 @@
 import trio
 
 from violetstack.config import Address
-from violetstack.core.records import always
+from violetstack.core.records import always_allowed
 from violetstack.net.transient_errors import RETRY_S, is_readable, is_transient, receive, send_some
 from violetstack.protocol.http_client import (
     HttpClientConnection,
@@ -74,7 +74,7 @@
         self,
         parts: list[bytes | memoryview],
         written: Callable[[], None],
-        allowed: Callable[[], bool] = always,
+        allowed: Callable[[], bool] = always_allowed,
         timeout_s: float = math.inf,
     ) -> None:
         """Writes a request; `written` is called in the same step as the system call for its last byte.
--- a/violetstack/net/upstream/state_release.py
+++ b/violetstack/net/upstream/state_release.py
@@ -100,7 +100,7 @@
 
         A connection that rests after a response is none: a new one would be opened beside it.
         """
-        silent = request.silent_hosts()
+        silent = request.unresponsive_hosts()
         names = [
             name
             for name in self._core.endpoints
