--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -176,7 +176,7 @@
         free = headroom(self.router, now)
         gauges = {"reader_free": free.prefill, "writer_free": free.decode}
         endpoints = EndpointCounts(len(self.core.endpoints), 0)
-        self.load_shedder.tick(now, now / 1000.0, gauges, endpoints, self.core.waiting_ratios(now))
+        self.load_shedder.tick(now, now / 1000.0, gauges, endpoints, self.core.waiting_objective_ratios(now))
         self.load_shedder.take_records()
         self.clock.at(now + TICK_MS, self.tick)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -33,27 +33,29 @@
 
 
 def test_a_whole_fleet_gets_its_watch_back_from_a_discovery_that_faltered() -> None:
-    backing_off: list[Callable[[], float]] = [Backoff(FLEET, seed).next_s for seed in range(FLEET)]
+    backing_off: list[Callable[[], float]] = [Backoff(FLEET, seed).next_delay_s for seed in range(FLEET)]
     assert subscribed(backing_off, 15.0) == FLEET
     assert subscribed([lambda: 0.25] * FLEET, 15.0) < FLEET // 2  # the service is one that this matters to
 
 
 def test_tries_at_discovery_are_spread_by_seed_grow_and_begin_anew_after_an_answer() -> None:
-    first = [Backoff(FLEET, seed).next_s() for seed in range(FLEET)]
+    first = [Backoff(FLEET, seed).next_delay_s() for seed in range(FLEET)]
     assert max(first) - min(first) > 0.4 and len(set(first)) == FLEET
     again = Backoff(3, 7)
-    waits = [again.next_s() for _ in range(12)]
+    waits = [again.next_delay_s() for _ in range(12)]
     assert all(later > sooner for sooner, later in pairwise(waits[::2][:3]))
     assert 0.125 <= waits[0] <= 0.25 and all(2.0 <= wait <= 4.0 for wait in waits[-4:])
-    again.answered()
-    assert again.next_s() <= 0.25
+    again.reset()
+    assert again.next_delay_s() <= 0.25
     agent = Backoff(200, 7, agent=True)  # on this machine: left alone only where it turns callers away
-    assert agent.next_s(turned_away=False) == 0.0  # a wait would be taken from a drain's grace
-    assert all(0.025 <= agent.next_s(turned_away=False) <= 0.2 for _ in range(20))
-    assert agent.next_s() > 2.0
-    agent.answered()
-    bad = [agent.next_s(bad=True) for _ in range(12)]  # it may be right the next time, or never
+    assert agent.next_delay_s(rejected=False) == 0.0  # a wait would be taken from a drain's grace
+    assert all(0.025 <= agent.next_delay_s(rejected=False) <= 0.2 for _ in range(20))
+    assert agent.next_delay_s() > 2.0
+    agent.reset()
+    bad = [agent.next_delay_s(invalid=True) for _ in range(12)]  # it may be right the next time, or never
     assert bad[0] == 0.0 and bad[1] <= 0.25 and all(2.0 <= wait <= 4.0 for wait in bad[-4:])
     asked = Backoff(200, 7)  # a list that is asked for: before what is missed counts as told
-    assert asked.next_s(turned_away=False) <= 2.0 < asked.next_s(turned_away=False)
-    assert [Backoff(3, 7).next_s() for _ in range(2)] == [Backoff(3, 7).next_s() for _ in range(2)]
+    assert asked.next_delay_s(rejected=False) <= 2.0 < asked.next_delay_s(rejected=False)
+    assert [Backoff(3, 7).next_delay_s() for _ in range(2)] == [
+        Backoff(3, 7).next_delay_s() for _ in range(2)
+    ]
--- a/violetstack/core/attempts.py
+++ b/violetstack/core/attempts.py
@@ -96,7 +96,7 @@
             attempt.withhold_reason = withhold_reason.value
         return withhold_reason is None
 
-    def withdraw_unsent(self, now: float, request: OpenRequest) -> None:
+    def abort_unsent_attempts(self, now: float, request: OpenRequest) -> None:
         """Ends attempts whose last byte has not left if nothing may be sent for the request any more.
 
         Hosts have not begun them, so this is no cancellation that the settings could forbid. The kernel may
@@ -155,7 +155,7 @@
             ratio = (now - request.arrived_at) / state.latency_objective_ms(request.policy_request)
             state.load_shedder.stream_started(now, ratio, request.policy_request.prompt_tokens)
         self._hold_manager.stream_started(now, attempt)
-        state.observe_attempt(attempt.server, now, well=True)
+        state.observe_attempt(attempt.server, now, succeeded=True)
         state.notify(request.sink.stream_started)
         state.post(StreamStarted(request.id, attempt.server, attempt.number, now - attempt.sent_at))
         return True
@@ -236,9 +236,9 @@
 
     def _observe(self, now: float, attempt: Attempt, status: AttemptStatus) -> None:
         if status is AttemptStatus.PREFILLED:
-            self._state.observe_attempt(attempt.server, now, well=True)
+            self._state.observe_attempt(attempt.server, now, succeeded=True)
         elif status in FAILURE_STATUSES and not attempt.stream_started:
-            self._state.observe_attempt(attempt.server, now, well=False)
+            self._state.observe_attempt(attempt.server, now, succeeded=False)
 
     # --- the client, and other processes ---
 
--- a/violetstack/core/backoff.py
+++ b/violetstack/core/backoff.py
@@ -9,7 +9,7 @@
 # A change counts as received 6 s after discovery had it and could be reached, whatever calls have failed. So
 # no window is longer, however large the fleet; the rest of the 6 s is for the answer.
 MAX_WINDOW_S = 4.0
-DISCOVERY_CALL_S = 0.025  # what a call costs the service; all dispatchers ask at the same time
+DISCOVERY_CALL_COST_S = 0.025  # what a call costs the service; all dispatchers ask at the same time
 FIRST_WINDOW_AFTER_WATCH_S = 2.0  # updates missed after a watch ended count as received 6 s later
 # The same for an agent on this machine, to which updates are pushed.
 AGENT_FIRST_WINDOW_S = 0.05
@@ -38,17 +38,17 @@
             agent: Whether an agent on this machine is asked.
         """
         self.agent = agent
-        fleet_window_s = dispatcher_count * DISCOVERY_CALL_S
+        fleet_window_s = dispatcher_count * DISCOVERY_CALL_COST_S
         self._first_window_s = min(MAX_WINDOW_S, max(FIRST_WINDOW_S, fleet_window_s))
         self._random = random.Random(seed)
         self._failures = 0
 
-    def answered(self) -> None:
+    def reset(self) -> None:
         """Resets the window after a successful request."""
         self._failures = 0
 
-    def next_s(
-        self, *, turned_away: bool = True, bad: bool = False, longest_s: float = MAX_WINDOW_S
+    def next_delay_s(
+        self, *, rejected: bool = True, invalid: bool = False, max_s: float = MAX_WINDOW_S
     ) -> float:
         """Returns how many seconds to wait after one more failure.
 
@@ -59,25 +59,25 @@
         """
         failures = self._failures
         self._failures += 1
-        window_s = min(longest_s, self._window_s(failures, turned_away=turned_away, bad=bad))
+        window_s = min(max_s, self._window_s(failures, rejected=rejected, invalid=invalid))
         return window_s * (0.5 + 0.5 * self._random.random())
 
-    def _window_s(self, failures: int, *, turned_away: bool, bad: bool) -> float:
-        if self.agent and (bad or not turned_away):
-            return _agent_window_s(failures, bad=bad)
-        window_s = min(MAX_WINDOW_S, self._first_window_s * _doubled(failures))
-        if not turned_away and not failures:
+    def _window_s(self, failures: int, *, rejected: bool, invalid: bool) -> float:
+        if self.agent and (invalid or not rejected):
+            return _agent_window_s(failures, invalid=invalid)
+        window_s = min(MAX_WINDOW_S, self._first_window_s * _growth_factor(failures))
+        if not rejected and not failures:
             return min(window_s, FIRST_WINDOW_AFTER_WATCH_S)
         return window_s
 
 
-def _agent_window_s(failures: int, *, bad: bool) -> float:
+def _agent_window_s(failures: int, *, invalid: bool) -> float:
     if not failures:
         return 0.0
-    first_s = FIRST_WINDOW_S if bad else AGENT_FIRST_WINDOW_S
-    max_s = MAX_WINDOW_S if bad else AGENT_MAX_WINDOW_S
-    return min(max_s, first_s * _doubled(failures - 1))
+    first_s = FIRST_WINDOW_S if invalid else AGENT_FIRST_WINDOW_S
+    max_s = MAX_WINDOW_S if invalid else AGENT_MAX_WINDOW_S
+    return min(max_s, first_s * _growth_factor(failures - 1))
 
 
-def _doubled(failures: int) -> float:
+def _growth_factor(failures: int) -> float:
     return 2.0 ** min(failures, MAX_DOUBLINGS)
--- a/violetstack/core/dispatcher.py
+++ b/violetstack/core/dispatcher.py
@@ -55,11 +55,11 @@
     """For a dispatcher whose caller runs it after each event."""
 
 
-def _as_advised(retry_after_ms: float) -> float:
+def _unchanged(retry_after_ms: float) -> float:
     return retry_after_ms
 
 
-def _never_unread() -> float:
+def _no_unread_time() -> float:
     return 0.0
 
 
@@ -90,8 +90,8 @@
         drain_grace_ms: float,
         *,
         wake: Wake = _do_not_wake,
-        retry_after: RetryAfter = _as_advised,
-        max_unread: MaxUnread = _never_unread,
+        retry_after: RetryAfter = _unchanged,
+        max_unread: MaxUnread = _no_unread_time,
     ) -> None:
         """Creates a dispatcher without requests and endpoints.
 
@@ -191,7 +191,7 @@
         """Returns how long what is read now may have waited in its socket."""
         return self._max_unread()
 
-    def waiting_ratios(self, now: float) -> list[float]:
+    def waiting_objective_ratios(self, now: float) -> list[float]:
         """Returns the ages of the requests without a first token, each divided by its latency objective."""
         state = self._state
         waiting = [request for request in self.open_requests.values() if not request.has_response]
@@ -221,7 +221,7 @@
         """The process is about to end: the policy ends requests while their clients can be answered."""
         self._state.post(ShutdownStarted())
 
-    def health_checked(self, result: HealthCheckResult) -> None:
+    def health_check_finished(self, result: HealthCheckResult) -> None:
         """A health check ended."""
         self._state.post(result)
 
@@ -229,7 +229,7 @@
         """Another dispatcher sent a datagram."""
         self._state.post(message)
 
-    def outlier_checked(self, result: OutlierCheckResult) -> None:
+    def outlier_check_updated(self, result: OutlierCheckResult) -> None:
         """The check of an outlier host changed hands or ended."""
         self._state.post(result)
 
@@ -345,7 +345,7 @@
     def _try_clean_up(self, now: float, request: OpenRequest) -> None:
         """A failure over one request costs no other its clean-up."""
         try:
-            self._attempts.withdraw_unsent(now, request)
+            self._attempts.abort_unsent_attempts(now, request)
             self._lifecycle.clean_up(now, request)
         except Exception as error:
             self.driver.log("clean_up_failed", id=request.id, error=repr(error))
@@ -360,16 +360,16 @@
 
     def _try_action(self, now: float, action: Action) -> None:
         try:
-            self._carry_out(now, action)
+            self._perform(now, action)
         except Exception as error:
             self.driver.log("action_failed", action=repr(action), error=repr(error))
 
-    def _carry_out(self, now: float, action: Action) -> None:
+    def _perform(self, now: float, action: Action) -> None:
         match action:
             case SendAttempt() | ReserveDecodeSlot() | ReleaseState() | CancelAttempt():
                 request = self.open_requests.get(action.id)
                 if request is not None:
-                    self._carry_out_for(now, request, action)
+                    self._perform_for_request(now, request, action)
             case RejectRequest():
                 self._lifecycle.reject(now, action.id, action.retry_after_ms)
             case FailRequest():
@@ -388,7 +388,7 @@
             case SetWatch() | FetchEndpoints() | MigrateStream():
                 pass  # this program always watches the list, and resumes no stream at another host
 
-    def _carry_out_for(
+    def _perform_for_request(
         self,
         now: float,
         request: OpenRequest,
--- a/violetstack/core/lifecycle.py
+++ b/violetstack/core/lifecycle.py
@@ -84,7 +84,7 @@
         if state.router is not None:
             state.router.request_accepted(now, request.policy_request)
 
-    def reject(self, now: float, request_id: str, advised_ms: float) -> None:
+    def reject(self, now: float, request_id: str, retry_after_ms: float) -> None:
         """Answers that a retry does no harm; the policy advises to wait for `advised_ms`.
 
         Does nothing if the request has a response.
@@ -92,7 +92,7 @@
         request = self._without_response(request_id)
         if request is not None:
             self.finish(now, request, RequestOutcome.REJECTED)
-            self._state.notify(request.sink.rejected, self._retry_after(advised_ms))
+            self._state.notify(request.sink.rejected, self._retry_after(retry_after_ms))
 
     def fail(self, now: float, request_id: str) -> None:
         """Answers that the request failed. Does nothing if the request has a response."""
@@ -111,7 +111,7 @@
         state.invariants.check_final_response(now, request, outcome)
         request.done = True
         request.outcome = outcome
-        request.answered_at = now
+        request.finished_at = now
         state.timers.cancel(request.deadline_timer)
         state.mark_changed(request)
         state.metrics.request_finished(request.policy_request.class_index, outcome)
@@ -156,7 +156,7 @@
             id=request.id,
             cls=request.policy_request.class_index,
             answer=outcome.value if outcome is not None else "",
-            ms=round(request.answered_at - request.arrived_at),
+            ms=round(request.finished_at - request.arrived_at),
             first_ms=round(request.first_event_at - request.arrived_at) if request.first_event_at else None,
             attempts=[each.as_row() for each in request.attempt_log],
             places=[(each.server, each.outcome.value) for each in request.reservation_log],
--- a/violetstack/core/ports.py
+++ b/violetstack/core/ports.py
@@ -120,8 +120,8 @@
     def endpoints_listed(self, now: float, hosts: Iterable[str]) -> None:
         """Called with all listed hosts after each update of the endpoint list."""
 
-    def attempt_observed(self, now: float, host: str, well: bool) -> None:
-        """An attempt succeeded (`well`) at the host, or the host failed it."""
+    def attempt_observed(self, now: float, host: str, succeeded: bool) -> None:
+        """An attempt succeeded (`succeeded`) at the host, or the host failed it."""
 
 
 class MigratedStream(Protocol):
--- a/violetstack/core/state.py
+++ b/violetstack/core/state.py
@@ -89,10 +89,10 @@
         except Exception as error:
             self.driver.log("response_dropped", error=repr(error))
 
-    def observe_attempt(self, server: str, now: float, *, well: bool) -> None:
+    def observe_attempt(self, server: str, now: float, *, succeeded: bool) -> None:
         """Tells the outlier observer how an attempt went at a host."""
         if self.outlier_observer is not None:
-            self.outlier_observer.attempt_observed(now, server, well)
+            self.outlier_observer.attempt_observed(now, server, succeeded)
 
     def latency_objective_ms(self, request: Request) -> float:
         """Returns the time within which the request's first token is wanted."""
--- a/violetstack/net/lease_service.py
+++ b/violetstack/net/lease_service.py
@@ -142,7 +142,7 @@
 
     def outlier_check_result(self, result: OutlierCheckResult) -> None:
         """Pass a result to the policy."""
-        self._core.outlier_checked(result)
+        self._core.outlier_check_updated(result)
 
     def outlier_check_started(self, host: str) -> None:
         """Log that this dispatcher checks a host."""
--- a/violetstack/net/load_shedding.py
+++ b/violetstack/net/load_shedding.py
@@ -152,7 +152,7 @@
             "bytes": _highest(table.body_utilization for table in tables),
         }
         self.load_shedder.tick(
-            now, time.time(), gauges, self._endpoint_counts(now), self._core.waiting_ratios(now)
+            now, time.time(), gauges, self._endpoint_counts(now), self._core.waiting_objective_ratios(now)
         )
 
     def _endpoint_counts(self, now: float) -> EndpointCounts:
--- a/violetstack/net/upstream/health_check.py
+++ b/violetstack/net/upstream/health_check.py
@@ -49,4 +49,4 @@
             status = AttemptStatus.RESET
         except Exception as error:  # no check's failure may end the program
             log("health_check_failed", server=server, error=repr(error))
-        self._core.health_checked(HealthCheckResult(server, status, now_ms() - began_at, report))
+        self._core.health_check_finished(HealthCheckResult(server, status, now_ms() - began_at, report))
--- a/violetstack/net/watch.py
+++ b/violetstack/net/watch.py
@@ -164,7 +164,7 @@
         if address == self.address:
             return
         self.address = address
-        self._backoff.answered()
+        self._backoff.reset()
         self.request_list()
 
     def request_list(self) -> None:
@@ -230,7 +230,7 @@
         now = trio.current_time()
         interval_began_at = self._last_connect_at if self._connection_needed else now
         longest_s = max(MIN_RETRY_DELAY_S, interval_began_at + MAX_CONNECT_INTERVAL_S - now)
-        wait_s = self._backoff.next_s(turned_away=rejected, bad=invalid, longest_s=longest_s)
+        wait_s = self._backoff.next_delay_s(rejected=rejected, invalid=invalid, max_s=longest_s)
         self._connection_needed = True
         self._next_connect_at = max(now + wait_s, self._last_connect_at + MIN_CONNECT_INTERVAL_S)
         self._state_changed.set()
@@ -244,7 +244,7 @@
             if other.responded or other.index is not None or not self._list_needed:
                 other.drop()
         if not self._connection_needed:
-            self._backoff.answered()
+            self._backoff.reset()
         self._state_changed.set()
 
     def _mark_alive(self, connection: WatchConnection) -> None:
