--- a/tests/test_idempotency_clock_steps.py
+++ b/tests/test_idempotency_clock_steps.py
@@ -27,7 +27,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(service.run)
         await story(service)
-        while service.pending:
+        while service.pending_calls:
             await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
     store.close()
--- a/tests/test_idempotency_disk_faults.py
+++ b/tests/test_idempotency_disk_faults.py
@@ -63,7 +63,7 @@
                 finally:
                     store.unlocked.set()
                     store.full = False
-                while service.pending:
+                while service.pending_calls:
                     await trio.sleep(0.01)
                 nursery.cancel_scope.cancel()
         store.close()
@@ -80,9 +80,9 @@
         service.record_outcome(REQUEST, Outcome.COMPLETED, b"response")
         assert (await service.claim(OTHER, BOUND_S)).status is ClaimStatus.ACQUIRED
         assert (await service.claim(REQUEST, BOUND_S)).status is ClaimStatus.RUNNING
-        assert service.pending  # a shutdown waits for the outcome
+        assert service.pending_calls  # a shutdown waits for the outcome
         store.full = False
-        while service.pending:
+        while service.pending_calls:
             await trio.sleep(0.01)
         assert await service.claim(REQUEST, BOUND_S) == (ClaimStatus.COMPLETED, b"response")
 
@@ -99,7 +99,7 @@
         with pytest.raises(IdempotencyStoreError):
             await service.claim(REQUEST, 0.1)
         store.unlocked.set()
-        while service.pending:
+        while service.pending_calls:
             await trio.sleep(0.01)
         assert (await service.claim(REQUEST, BOUND_S)).status is ClaimStatus.ACQUIRED
 
@@ -118,7 +118,7 @@
         monkeypatch.setattr(store, "claim", fail)
         with pytest.raises(IdempotencyStoreError):
             await service.claim(REQUEST, BOUND_S)
-        while service.pending:
+        while service.pending_calls:
             await trio.sleep(0.01)
         monkeypatch.undo()
         assert (await service.claim(REQUEST, BOUND_S)).status is ClaimStatus.ACQUIRED
--- a/violetstack/core/backoff.py
+++ b/violetstack/core/backoff.py
@@ -6,36 +6,38 @@
 
 # Backoff windows in seconds.
 FIRST_WINDOW_S = 0.25
-# A change counts as received 6 s after discovery had it and could be reached, whatever calls have failed. So
-# no window is longer, however large the fleet; the rest of the 6 s is for the answer.
+# A dispatcher must have a change of the endpoint list 6 s after a reachable discovery service had it, however
+# many requests failed before. So no window is longer than 4 s, whatever the size of the fleet; the other 2 s
+# are for the response.
 MAX_WINDOW_S = 4.0
-DISCOVERY_CALL_COST_S = 0.025  # what a call costs the service; all dispatchers ask at the same time
-FIRST_WINDOW_AFTER_WATCH_S = 2.0  # updates missed after a watch ended count as received 6 s later
-# The same for an agent on this machine, to which updates are pushed.
+DISCOVERY_CALL_COST_S = 0.025  # time that the service spends on one request; all dispatchers ask at once
+FIRST_WINDOW_AFTER_WATCH_S = 2.0  # the 6 s for updates that were missed begin when the watch ends
+# Windows for an agent on this machine, which is sent the updates and passes them on.
 AGENT_FIRST_WINDOW_S = 0.05
 AGENT_MAX_WINDOW_S = 0.2
 MAX_DOUBLINGS = 10
 
 
 class Backoff:
-    """Exponential backoff with jitter: the wait is drawn from the later half of a window that doubles.
+    """Exponential backoff with jitter: the delay is drawn from the upper half of a window that doubles.
 
-    When discovery falters, every dispatcher loses its watch at the same moment. Retries in step each quarter
-    of a second would keep it too busy to answer any of them, so the first window grows with the number of
-    dispatchers, up to the longest window, and the jitter comes from the dispatcher's own seed.
+    When the discovery service fails, every dispatcher loses its watch at the same moment. If all of them
+    retried every 0.25 s, the service would be too busy to answer any of them. So the first window grows with
+    the number of dispatchers, up to the longest window, and each dispatcher's jitter has its own seed.
 
-    An agent on this machine answers at no cost, and what is pushed to it counts as received by this process
-    whether or not a watch is open: a wait before the first retry would be taken from a draining host's grace
-    period. So only an agent that rejects callers, or sends a list that can't be decoded, gets longer windows.
+    A discovery agent on this machine answers at no cost to the service. The updates that it is sent count as
+    received by this process whether or not a watch is open, so each delay before a retry shortens the time
+    that is left for a draining host. Therefore only an agent that rejects requests, or sends a list that
+    can't be decoded, gets the longer windows.
     """
 
     def __init__(self, dispatcher_count: int, seed: int, *, agent: bool = False) -> None:
         """Creates a backoff without failures.
 
         Args:
-            dispatcher_count: Number of dispatchers that share the discovery service.
+            dispatcher_count: Number of dispatchers that use the discovery service.
             seed: Seed of the jitter.
-            agent: Whether an agent on this machine is asked.
+            agent: Whether requests go to a discovery agent on this machine.
         """
         self.agent = agent
         fleet_window_s = dispatcher_count * DISCOVERY_CALL_COST_S
@@ -50,12 +52,12 @@
     def next_delay_s(
         self, *, rejected: bool = True, invalid: bool = False, max_s: float = MAX_WINDOW_S
     ) -> float:
-        """Returns how many seconds to wait after one more failure.
+        """Counts one more failure, and returns the delay before the next request in seconds.
 
         Args:
-            turned_away: The service answered, but not with a list.
-            bad: It answered with a list that can't be decoded.
-            longest_s: What the failed call has left of the longest window.
+            rejected: The service answered, but not with a list.
+            invalid: The service answered with a list that can't be decoded.
+            max_s: Upper limit of the delay: the longest window less the time that the failed call took.
         """
         failures = self._failures
         self._failures += 1
--- a/violetstack/daemon/fronts.py
+++ b/violetstack/daemon/fronts.py
@@ -111,7 +111,7 @@
     def busy(self) -> bool:
         """Is a connection open on which something may still come, or be lost, or a record to be written?"""
         waiting = self.chat is not None and self.chat.pending
-        recording = self.idempotency is not None and self.idempotency.pending
+        recording = self.idempotency is not None and self.idempotency.pending_calls
         tables = [each.table for each in self.listeners]
         connected = any(table.busy or table.awaiting_requests or table.idle for table in tables)
         return bool(waiting or recording or connected)
--- a/violetstack/idempotency/service.py
+++ b/violetstack/idempotency/service.py
@@ -21,7 +21,7 @@
 T = TypeVar("T")
 
 
-def _ignore(_: object) -> None:
+def _ignore_late_result(_: object) -> None:
     """For a result that nobody has to undo."""
 
 
@@ -34,7 +34,7 @@
     """Claims requests, records their outcomes and renews the lease.
 
     Attributes:
-        pending: Number of calls that are queued or run; shutdown waits until there are none.
+        pending_calls: Number of calls that are queued or run; shutdown waits until there are none.
     """
 
     def __init__(self, store: IdempotencyStore, lease_s: float) -> None:
@@ -44,10 +44,10 @@
             store: The store; from now on only the service uses it.
             lease_s: Length of the store's lease.
         """
-        self.pending = 0
+        self.pending_calls = 0
         self._store = store
         self._renewal_interval_s = lease_s / RENEWALS_PER_LEASE
-        self._stopped = False
+        self._retries_stopped = False
         self._send_call, self._receive_call = trio.open_memory_channel[Callable[[], bool]](math.inf)
 
     async def run(self) -> None:
@@ -62,14 +62,14 @@
         except IdempotencyStoreError as error:
             log("idempotency_store_failed", error=error.reason)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._keep_lease)
+            nursery.start_soon(self._renew_lease_periodically)
             async for call in self._receive_call:
-                if await self._finishes(call):
-                    self.pending -= 1
+                if await self._run_call(call):
+                    self.pending_calls -= 1
                 else:
-                    nursery.start_soon(self._repeat_later, call)
+                    nursery.start_soon(self._requeue_after_delay, call)
 
-    async def _finishes(self, call: Callable[[], bool]) -> bool:
+    async def _run_call(self, call: Callable[[], bool]) -> bool:
         """Runs a call on the thread; returns False if it has to be repeated."""
         try:
             return await trio.to_thread.run_sync(call)
@@ -77,7 +77,7 @@
             log_rate_limited("idempotency_store_failed", error=repr(error))
             return True
 
-    async def _repeat_later(self, call: Callable[[], bool]) -> None:
+    async def _requeue_after_delay(self, call: Callable[[], bool]) -> None:
         await trio.sleep(RETRY_DELAY_S)
         self._send_call.send_nowait(call)
 
@@ -94,8 +94,8 @@
             IdempotencyStoreError: More than MAX_QUEUED_CALLS calls are queued, the file cannot be written, or
                 the claim took longer than `timeout_s`.
         """
-        if self.pending >= MAX_QUEUED_CALLS:
-            raise IdempotencyStoreError(f"{self.pending} calls are queued, at most {MAX_QUEUED_CALLS}")
+        if self.pending_calls >= MAX_QUEUED_CALLS:
+            raise IdempotencyStoreError(f"{self.pending_calls} calls are queued, at most {MAX_QUEUED_CALLS}")
 
         def release(late: ClaimResult) -> None:
             if late.status is ClaimStatus.ACQUIRED:
@@ -114,7 +114,7 @@
 
         def record() -> bool:
             """Runs on the thread."""
-            if self._stopped:
+            if self._retries_stopped:
                 return True
             try:
                 self._store.record_outcome(request, outcome, response)
@@ -127,20 +127,20 @@
 
     def stop_retrying(self) -> None:
         """Ends the retries of `record_outcome`, so that the process can exit."""
-        self._stopped = True
+        self._retries_stopped = True
 
     def _renew_lease(self) -> None:
         self._store.renew_lease()
 
-    async def _keep_lease(self) -> None:
+    async def _renew_lease_periodically(self) -> None:
         while True:
             await trio.sleep(self._renewal_interval_s)
             try:
-                await self._call(self._renew_lease, _ignore)
+                await self._call(self._renew_lease, _ignore_late_result)
             except IdempotencyStoreError as error:
                 log("idempotency_store_failed", error=error.reason)
 
-    async def _call(self, act: Callable[[], T], result_is_late: Callable[[T], None]) -> T:
+    async def _call(self, operation: Callable[[], T], on_late_result: Callable[[T], None]) -> T:
         """Runs `act` on the thread and returns its result; raises IdempotencyStoreError.
 
         If this is cancelled meanwhile, `result_is_late` gets the result.
@@ -154,13 +154,13 @@
         def finish() -> None:
             """Runs in the event loop, so that a result is either taken or late."""
             if not waiting and results:
-                result_is_late(results[0])
+                on_late_result(results[0])
             done.set()
 
         def call() -> bool:
             """Runs on the thread."""
             try:
-                results.append(act())
+                results.append(operation())
             except IdempotencyStoreError as error:
                 errors.append(error)
             finally:
@@ -173,7 +173,7 @@
         except trio.Cancelled:
             waiting = False
             if done.is_set() and results:
-                result_is_late(results[0])
+                on_late_result(results[0])
             raise
         if errors:
             raise errors[0]
@@ -182,5 +182,5 @@
         return results[0]
 
     def _enqueue(self, call: Callable[[], bool]) -> None:
-        self.pending += 1
+        self.pending_calls += 1
         self._send_call.send_nowait(call)
--- a/violetstack/idempotency/store.py
+++ b/violetstack/idempotency/store.py
@@ -38,7 +38,7 @@
 CREATE INDEX IF NOT EXISTS keys_of_order ON keys (tenant, digest);
 CREATE TABLE IF NOT EXISTS owners (owner TEXT PRIMARY KEY, beat REAL NOT NULL) WITHOUT ROWID;
 """
-RUNNING = "running"  # the stored state between a claim and its outcome
+RUNNING_STATE = "running"  # the stored state between a claim and its outcome
 LOCK_TIMEOUT_S = 2.0
 HEARTBEAT_STEP_S = 0.001  # added where the clock shows the same time as at the last heartbeat
 
@@ -116,15 +116,17 @@
     def __init__(self, monotonic: Callable[[], float]) -> None:
         """Creates a clock that has not been read; `monotonic` returns seconds."""
         self._monotonic = monotonic
-        self._read_at = 0.0
-        self._read = float("-inf")
+        self._last_read_at = 0.0
+        self._last_reading_s = float("-inf")
 
     def read(self, database: sqlite3.Connection) -> float:
         """Returns the file's time; the caller's transaction holds the file."""
         now = self._monotonic()
-        self._read = max(_latest_heartbeat(database), self._read + (now - self._read_at))
-        self._read_at = now
-        return self._read
+        self._last_reading_s = max(
+            _latest_heartbeat(database), self._last_reading_s + (now - self._last_read_at)
+        )
+        self._last_read_at = now
+        return self._last_reading_s
 
 
 def _latest_heartbeat(database: sqlite3.Connection) -> float:
@@ -182,22 +184,22 @@
         Raises:
             IdempotencyStoreError: The lease is not renewed.
         """
-        started = self._monotonic()
+        started_at = self._monotonic()
         with self._transaction() as database:
             now_s = self._clock.read(database)
-            oldest = now_s - self._retention_s
+            expire_before = now_s - self._retention_s
             # An owner is alive while its heartbeat changes.
             heartbeat = max(now_s, self._heartbeat + HEARTBEAT_STEP_S)
             database.execute("INSERT OR REPLACE INTO owners VALUES (?, ?)", (self._owner, heartbeat))
-            database.execute("DELETE FROM orders WHERE at < ? AND state != ?", (oldest, RUNNING))
-            for owner in self._failed_owners(database, started):
-                self._delete_owner_records(database, owner, oldest)
+            database.execute("DELETE FROM orders WHERE at < ? AND state != ?", (expire_before, RUNNING_STATE))
+            for owner in self._failed_owners(database, started_at):
+                self._delete_owner_records(database, owner, expire_before)
             database.execute(
                 "DELETE FROM keys WHERE NOT EXISTS (SELECT 1 FROM orders o "
                 "WHERE o.tenant = keys.tenant AND o.digest = keys.digest)"
             )
         self._heartbeat = heartbeat
-        self._lease_end = started + self._lease_s
+        self._lease_end = started_at + self._lease_s
 
     def claim(self, request: KeyedRequest) -> ClaimResult:
         """Records a request as running, or returns what is recorded of it.
@@ -208,9 +210,9 @@
         Raises:
             IdempotencyStoreError: Nothing was recorded, so the request must not be sent.
         """
-        started = self._monotonic()
+        started_at = self._monotonic()
         with self._transaction() as database:
-            return self._claim(database, request, self._clock.read(database), started)
+            return self._claim(database, request, self._clock.read(database), started_at)
 
     def record_outcome(self, request: KeyedRequest, outcome: Outcome, response: bytes) -> bool:
         """Records how a request ended that this process claimed.
@@ -228,13 +230,13 @@
         """
         with self._transaction() as database:
             stored = self._find(database, request)
-            if stored is None or (stored.state, stored.owner) != (RUNNING, self._owner):
+            if stored is None or (stored.state, stored.owner) != (RUNNING_STATE, self._owner):
                 return False
             self._update(database, request, outcome, response, self._clock.read(database))
             return True
 
     def _claim(
-        self, database: sqlite3.Connection, request: KeyedRequest, now_s: float, started: float
+        self, database: sqlite3.Connection, request: KeyedRequest, now_s: float, started_at: float
     ) -> ClaimResult:
         key_row = database.execute(
             "SELECT body FROM keys WHERE tenant = ? AND key = ?", (request.tenant, request.key)
@@ -243,7 +245,11 @@
             return ClaimResult(ClaimStatus.KEY_REUSED, b"")
         stored = self._find(database, request)
         state = stored.state if stored is not None else Outcome.RELEASED.value
-        if stored is not None and state == RUNNING and not self._is_alive(database, stored.owner, started):
+        if (
+            stored is not None
+            and state == RUNNING_STATE
+            and not self._is_owner_alive(database, stored.owner, started_at)
+        ):
             # How far its owner came is unknown, so it must not run again.
             state = Outcome.FAILED.value
             self._update(database, request, Outcome.FAILED, b"", now_s)
@@ -257,7 +263,7 @@
         database.execute("INSERT OR IGNORE INTO owners VALUES (?, ?)", (self._owner, now_s))
         database.execute(
             "INSERT OR REPLACE INTO orders VALUES (?, ?, ?, ?, NULL, ?)",
-            (request.tenant, request.digest, RUNNING, self._owner, now_s),
+            (request.tenant, request.digest, RUNNING_STATE, self._owner, now_s),
         )
         return ClaimResult(ClaimStatus.ACQUIRED, b"")
 
@@ -281,26 +287,26 @@
             (outcome.value, response, now_s, request.tenant, request.digest),
         )
 
-    def _is_alive(self, database: sqlite3.Connection, owner: str, started: float) -> bool:
+    def _is_owner_alive(self, database: sqlite3.Connection, owner: str, started_at: float) -> bool:
         if owner == self._owner:
             return True
         row = database.execute("SELECT beat FROM owners WHERE owner = ?", (owner,)).fetchone()
         heartbeat = None if row is None else row[0]
-        return not self._liveness.is_expired(started, self._monotonic(), owner, heartbeat)
+        return not self._liveness.is_expired(started_at, self._monotonic(), owner, heartbeat)
 
-    def _failed_owners(self, database: sqlite3.Connection, started: float) -> list[str]:
+    def _failed_owners(self, database: sqlite3.Connection, started_at: float) -> list[str]:
         """Owners whose heartbeat has not changed for a lease."""
         rows = database.execute("SELECT owner, beat FROM owners WHERE owner != ?", (self._owner,)).fetchall()
-        read = self._monotonic()
-        return [owner for owner, beat in rows if self._liveness.is_expired(started, read, owner, beat)]
+        read_at = self._monotonic()
+        return [owner for owner, beat in rows if self._liveness.is_expired(started_at, read_at, owner, beat)]
 
-    def _delete_owner_records(self, database: sqlite3.Connection, owner: str, oldest: float) -> None:
+    def _delete_owner_records(self, database: sqlite3.Connection, owner: str, expire_before: float) -> None:
         """Deletes the expired records of a failed owner, and the owner once it has no running request."""
-        database.execute("DELETE FROM orders WHERE at < ? AND owner = ?", (oldest, owner))
+        database.execute("DELETE FROM orders WHERE at < ? AND owner = ?", (expire_before, owner))
         database.execute(
             "DELETE FROM owners WHERE owner = ? AND beat < ? AND NOT EXISTS "
             "(SELECT 1 FROM orders o WHERE o.owner = owners.owner AND o.state = ?)",
-            (owner, oldest, RUNNING),
+            (owner, expire_before, RUNNING_STATE),
         )
 
     @contextlib.contextmanager
