--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -19,7 +19,7 @@
 from typing import NamedTuple
 
 from violetstack.lease.node import LeaseNode, NodeSettings
-from violetstack.lease.outbox import EVERYONE
+from violetstack.lease.outbox import ALL_PEERS
 from violetstack.simulation.lease_cluster import LEASE_MS, Cluster, Process
 
 STEP_MS = 10.0
@@ -147,7 +147,7 @@
         arriving = self._in_flight
         self._in_flight = []
         for sender, receiver, data in arriving:
-            for number in range(len(self.nodes)) if receiver == EVERYONE else (receiver,):
+            for number in range(len(self.nodes)) if receiver == ALL_PEERS else (receiver,):
                 if number != sender:
                     self.nodes[number].receive(self.now, sender, data)
         for node in self.nodes:
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -15,7 +15,7 @@
     KeyedRequest,
     Outcome,
 )
-from violetstack.lease.liveness import MAX_OWNERS, LivenessMonitor
+from violetstack.lease.liveness import MAX_OBSERVED_OWNERS, LivenessMonitor
 
 REQUEST = KeyedRequest("acme", "k1", "body", "digest")
 RETRY = KeyedRequest("acme", "k2", "body", "digest")
@@ -115,9 +115,9 @@
     assert not monitor.is_expired(16.3, 16.3, "a", 2)
     assert not monitor.is_expired(17.0, 17.0, "b", None)
     assert monitor.is_expired(30.0, 30.0, "b", None)
-    for n in range(MAX_OWNERS + 10):
+    for n in range(MAX_OBSERVED_OWNERS + 10):
         monitor.is_expired(40.0, 40.0, f"x{n}", 0)
-    assert monitor.observed_owners == MAX_OWNERS
+    assert monitor.observed_owners == MAX_OBSERVED_OWNERS
 
 
 def test_an_owner_that_lost_its_lease_cannot_change_a_record(tmp_path: Path) -> None:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -8,7 +8,7 @@
 
 from violetstack.lease.errors import InvalidDatagramError
 from violetstack.lease.messages import (
-    MAX_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     MAX_MESSAGES,
     Ballot,
     Message,
@@ -112,7 +112,7 @@
         for n in range(20)
     ]
     data = encode(messages, 99)
-    assert len(data) <= MAX_DATAGRAM
+    assert len(data) <= MAX_DATAGRAM_BYTES
     assert len(data) % 3 == 1
     assert decode(data) == (99, messages[:MAX_MESSAGES])
     for bad in (b"", b"\0", data[:-1], b"xL" + data[2:], data[:2] + b"\2" + data[3:]):
--- a/tests/test_lease_node.py
+++ b/tests/test_lease_node.py
@@ -12,11 +12,11 @@
 from violetstack.lease.errors import InvalidDatagramError
 from violetstack.lease.messages import Ballot, Message, MessageType, encode, lease_id_of, node_id_of
 from violetstack.lease.node import LeaseNode, NodeSettings
-from violetstack.lease.observer import Broadcast, IgnoreEvents, LeaseObserver
-from violetstack.lease.outbox import EVERYONE
+from violetstack.lease.observer import Broadcast, LeaseObserver, NullObserver
+from violetstack.lease.outbox import ALL_PEERS
 from violetstack.lease.outlier_checks import (
-    ATTEMPT_PATIENCE_MS,
     CHECKING,
+    MAX_IDLE_CHECK_MS,
     SUCCEEDED,
     OutlierChecks,
     lease_name,
@@ -28,7 +28,7 @@
 
 LEASE_MS = 1_000.0
 STEP_MS = 5.0
-MAX_DATAGRAM = 256
+MAX_DATAGRAM_BYTES = 256
 
 
 def node_settings(number: int, size: int, **options: Any) -> NodeSettings:
@@ -60,7 +60,7 @@
             each_step()
             for node in self.nodes:
                 for receiver, data in node.tick(self.now):
-                    for other in self.nodes if receiver == EVERYONE else [self.nodes[receiver]]:
+                    for other in self.nodes if receiver == ALL_PEERS else [self.nodes[receiver]]:
                         if other is not node:
                             other.receive(self.now, node.number, data)
 
@@ -68,7 +68,7 @@
         return [node.number for node in self.nodes if node.holds(self.now, name)]
 
 
-class BroadcastRecorder(IgnoreEvents):
+class BroadcastRecorder(NullObserver):
     """Keeps the broadcasts that were received by any node."""
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
         self.received.append(broadcast)
 
 
-class CheckedNode(IgnoreEvents):
+class CheckedNode(NullObserver):
     """A node with outlier checks, and what they reported."""
 
     def __init__(self, now: float, number: int, size: int, rng: random.Random, suspecting: set[int]) -> None:
@@ -105,21 +105,23 @@
     permits = [RestartPermits(node, 2) for node in tier.nodes]
     for each in permits[:4]:
         each.request(tier.now)
-    tier.run(3_000.0, lambda: [each.held(tier.now) for each in permits])
-    holders = [n for n, each in enumerate(permits) if each.held(tier.now)]
+    tier.run(3_000.0, lambda: [each.held_permit(tier.now) for each in permits])
+    holders = [n for n, each in enumerate(permits) if each.held_permit(tier.now)]
     assert len(holders) == 2
     waiting = next(n for n in range(4) if n not in holders)
     assert "is held by" in permits[waiting].denial_reason(tier.now)
-    permits[holders[0]].use()  # the other holder never uses its permit
+    permits[holders[0]].keep_until_exit()  # the other holder never uses its permit
 
     def repeat_request() -> None:
         permits[waiting].request(tier.now)
         for each in permits:
             each.tick(tier.now)
-            each.held(tier.now)
+            each.held_permit(tier.now)
 
     tier.run(REQUEST_TIMEOUT_MS, repeat_request)
-    assert sorted((holders[0], waiting)) == [n for n, each in enumerate(permits) if each.held(tier.now)]
+    assert sorted((holders[0], waiting)) == [
+        n for n, each in enumerate(permits) if each.held_permit(tier.now)
+    ]
 
 
 def test_resigned_lease_goes_to_another_and_its_old_broadcasts_are_rejected() -> None:
@@ -175,7 +177,7 @@
     node.receive(0.0, 1, good)
     assert acceptor.highest_token >= 5
     assert len(acceptor.leases) == 1
-    assert len(good) <= MAX_DATAGRAM
+    assert len(good) <= MAX_DATAGRAM_BYTES
     assert len(good) % 3 == 1
 
 
@@ -221,7 +223,7 @@
     for n, each in enumerate(checked):
         avoid_ms = 0.0 if n == holder else LEASE_MS
         assert OutlierCheckResult("h", avoid_ms, False) in each.results
-    tier.run(ATTEMPT_PATIENCE_MS, tick)  # without any attempt, another dispatcher checks
+    tier.run(MAX_IDLE_CHECK_MS, tick)  # without any attempt, another dispatcher checks
     (second,) = tier.holders(lease_name("h"))
     assert second != holder
     suspecting.clear()
--- a/violetstack/lease/acceptor.py
+++ b/violetstack/lease/acceptor.py
@@ -42,19 +42,19 @@
     Attributes:
         quarantined_until: Until when nothing is answered after a restart.
         recovery_deadline: Until when replies are waited for after the quarantine.
-        replies_needed: How many other acceptors have to reply to a FENCE_QUERY.
-        replies: The numbers of those that have replied.
+        fence_replies_needed: How many other acceptors have to reply to a FENCE_QUERY.
+        fence_replies_from: The numbers of those that have replied.
         highest_token: The highest fencing token that this acceptor knows of any lease.
         leases: The state of each lease by lease id.
     """
 
-    def __init__(self, now: float, max_duration_ms: float, others: int, *, restarted: bool) -> None:
+    def __init__(self, now: float, max_duration_ms: float, other_acceptors: int, *, restarted: bool) -> None:
         """Start an acceptor.
 
         Args:
             now: The present time.
             max_duration_ms: The longest lease that is granted.
-            others: How many acceptors there are besides this one.
+            other_acceptors: How many acceptors there are besides this one.
             restarted: Whether it may have granted leases before. False only in a tier that never had a
                 holder.
         """
@@ -62,8 +62,8 @@
         quarantine_ms = with_drift_margin(max_duration_ms) if restarted else 0.0
         self.quarantined_until = now + quarantine_ms
         self.recovery_deadline = self.quarantined_until + quarantine_ms
-        self.replies_needed = majority(others + 1) if restarted and others else 0
-        self.replies: set[int] = set()
+        self.fence_replies_needed = majority(other_acceptors + 1) if restarted and other_acceptors else 0
+        self.fence_replies_from: set[int] = set()
         self.highest_token = 0
         self.leases: dict[int, AcceptorState] = {}
 
@@ -71,7 +71,7 @@
         """Return whether it answers proposers, which a restarted acceptor at first does not."""
         if now < self.quarantined_until:
             return False
-        return len(self.replies) >= self.replies_needed or now >= self.recovery_deadline
+        return len(self.fence_replies_from) >= self.fence_replies_needed or now >= self.recovery_deadline
 
     def observe_token(self, token: int) -> None:
         """Take note of a fencing token that was seen in a message."""
@@ -79,7 +79,7 @@
 
     def on_fence_reply(self, acceptor: int, token: int) -> None:
         """Take the reply to a FENCE_QUERY from another acceptor that was ready."""
-        self.replies.add(acceptor)
+        self.fence_replies_from.add(acceptor)
         self.observe_token(token)
 
     def handle(self, now: float, message: Message) -> list[Message]:
--- a/violetstack/lease/candidacy.py
+++ b/violetstack/lease/candidacy.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from violetstack.lease.messages import number_of
+from violetstack.lease.messages import dispatcher_number_of
 from violetstack.lease.proposer import HolderChange, Proposer
 from violetstack.lease.retry_schedule import ATTEMPT_TIMEOUT_MS
 
@@ -81,4 +81,4 @@
         observed = self.proposer.observed_holder
         if observed.node_id is None or now >= observed.expires_at + ATTEMPT_TIMEOUT_MS:
             return None
-        return number_of(observed.node_id)
+        return dispatcher_number_of(observed.node_id)
--- a/violetstack/lease/liveness.py
+++ b/violetstack/lease/liveness.py
@@ -10,7 +10,7 @@
 
 from violetstack.lease.clock_drift import with_drift_margin
 
-MAX_OWNERS = 4_096  # observed at a time; the one that was observed first is dropped
+MAX_OBSERVED_OWNERS = 4_096  # observed at a time; the one that was observed first is dropped
 
 
 class Observation(NamedTuple):
@@ -48,7 +48,7 @@
         if last is None or last.heartbeat != heartbeat:
             self._observations.pop(owner, None)
             self._observations[owner] = Observation(heartbeat, read_finished)
-            if len(self._observations) > MAX_OWNERS:
+            if len(self._observations) > MAX_OBSERVED_OWNERS:
                 # Should it be seen again, it counts as alive for another lease, which is safe.
                 del self._observations[next(iter(self._observations))]
             return False
--- a/violetstack/lease/messages.py
+++ b/violetstack/lease/messages.py
@@ -21,10 +21,10 @@
 HEADER = struct.Struct(">2sBI")  # magic, version, the highest fencing token known to the sender
 MESSAGE = struct.Struct(">BIIIIII")  # type, lease id, ballot round, ballot node, token, duration, owner
 TAG_BYTES = 8
-MAX_DATAGRAM = 256
-MAX_PADDING = 2
+MAX_DATAGRAM_BYTES = 256
+MAX_PADDING_BYTES = 2
 NO_OWNER = 0xFFFFFFFF
-MAX_MESSAGES = (MAX_DATAGRAM - HEADER.size - TAG_BYTES - MAX_PADDING) // MESSAGE.size
+MAX_MESSAGES = (MAX_DATAGRAM_BYTES - HEADER.size - TAG_BYTES - MAX_PADDING_BYTES) // MESSAGE.size
 NUMBER_BITS = 12  # of a node id; the rest is the incarnation
 NUMBER_MASK = (1 << NUMBER_BITS) - 1
 INCARNATION_MASK = 0xFFFFF
@@ -91,7 +91,7 @@
     return (incarnation & INCARNATION_MASK) % INCARNATION_MASK << NUMBER_BITS | number
 
 
-def number_of(node_id: int) -> int:
+def dispatcher_number_of(node_id: int) -> int:
     """Return the dispatcher number of a node id."""
     return node_id & NUMBER_MASK
 
@@ -106,11 +106,11 @@
 
     An empty `key` leaves the authentication tag out.
     """
-    rows = [HEADER.pack(MAGIC, VERSION, highest_token)]
+    parts = [HEADER.pack(MAGIC, VERSION, highest_token)]
     for kind, lease_id, ballot, token, duration, owner in messages[:MAX_MESSAGES]:
         owner_field = NO_OWNER if owner is None else owner
-        rows.append(MESSAGE.pack(kind, lease_id, *ballot, token, duration, owner_field))
-    data = b"".join(rows)
+        parts.append(MESSAGE.pack(kind, lease_id, *ballot, token, duration, owner_field))
+    data = b"".join(parts)
     tag_bytes = TAG_BYTES if key else 0
     data += b"\0" * ((1 - len(data) - tag_bytes) % 3)
     return data + authentication_tag(data, sender, key) if key else data
@@ -139,7 +139,7 @@
         DatagramVersionError: It is of another protocol or version.
         DatagramTagError: Its authentication tag fits none of the keys.
     """
-    if not HEADER.size <= len(data) <= MAX_DATAGRAM or len(data) % 3 != 1:
+    if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES or len(data) % 3 != 1:
         raise DatagramSizeError(len(data))
     magic, version, highest_token = HEADER.unpack_from(data)
     if magic != MAGIC or version != VERSION:
--- a/violetstack/lease/node.py
+++ b/violetstack/lease/node.py
@@ -22,21 +22,21 @@
     Message,
     MessageType,
     decode,
+    dispatcher_number_of,
     lease_id_of,
     node_id_of,
-    number_of,
 )
-from violetstack.lease.observer import Broadcast, IgnoreEvents, LeaseObserver
-from violetstack.lease.outbox import EVERYONE, Outbox
+from violetstack.lease.observer import Broadcast, LeaseObserver, NullObserver
+from violetstack.lease.outbox import ALL_PEERS, Outbox
 from violetstack.lease.proposer import Proposer
 from violetstack.lease.quorum import acceptor_numbers, majority
 from violetstack.lease.retry_schedule import ATTEMPT_TIMEOUT_MS, RetrySchedule
 
-FENCE_QUERY_MS = 500.0
-DISCARD_MS = 1_000.0  # how often the acceptor drops expired state
-COOLDOWN_LEASES = 2.0  # how many lease durations a node that resigned leaves the lease to others
-MIN_DELAY_MS = 1.0
-ORDER_BYTES = 8
+FENCE_QUERY_INTERVAL_MS = 500.0
+DISCARD_INTERVAL_MS = 1_000.0  # how often the acceptor drops expired state
+COOLDOWN_LEASE_DURATIONS = 2.0  # how many lease durations a node that resigned leaves the lease to others
+MIN_TIMER_DELAY_MS = 1.0
+PREFERENCE_HASH_BYTES = 8
 DATAGRAMS_PER_S = 200.0
 ACCEPTOR_MESSAGES = frozenset(
     {MessageType.PREPARE, MessageType.PROPOSE, MessageType.RELEASE, MessageType.FENCE_QUERY}
@@ -92,10 +92,10 @@
         self.acceptors = acceptor_numbers(settings.fleet_size)
         self.acceptor: Acceptor | None = None
         if settings.number in self.acceptors:
-            others = len(self.acceptors) - 1
-            self.acceptor = Acceptor(now, settings.duration_ms, others, restarted=settings.restarted)
+            other_acceptors = len(self.acceptors) - 1
+            self.acceptor = Acceptor(now, settings.duration_ms, other_acceptors, restarted=settings.restarted)
         self.outbox = Outbox(settings.number, settings.keys, settings.datagrams_per_s)
-        self._observer = IgnoreEvents() if observer is None else observer
+        self._observer = NullObserver() if observer is None else observer
         self._rng = rng
         self._candidacies: dict[int, Candidacy] = {}
         self._timers: list[tuple[float, int]] = []  # a heap; entries may be out of date
@@ -152,7 +152,7 @@
         candidacy = self._candidacies.get(lease_id_of(name))
         if candidacy is None or not candidacy.proposer.holds(now):
             return False
-        candidacy.cooldown_until = now + COOLDOWN_LEASES * self.duration_ms
+        candidacy.cooldown_until = now + COOLDOWN_LEASE_DURATIONS * self.duration_ms
         self._send_all(now, candidacy.proposer.resign(now, successor))
         self._report_changes(now, candidacy)
         self._schedule_tick(now, candidacy)
@@ -211,12 +211,12 @@
 
     def preference_order(self, name: str) -> list[int]:
         """Return all dispatcher numbers in the lease's own order, which spreads many leases evenly."""
-        return sorted(range(self.settings.fleet_size), key=partial(_position, name))
+        return sorted(range(self.settings.fleet_size), key=partial(_preference_hash, name))
 
     # --- timers ---
 
     def tick(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the datagrams to send now, each with its receiver's number, or EVERYONE."""
+        """Return the datagrams to send now, each with its receiver's number, or ALL_PEERS."""
         if self.acceptor is not None:
             self._tick_acceptor(now, self.acceptor)
         self._tick_proposers(now)
@@ -235,9 +235,9 @@
     def _tick_acceptor(self, now: float, acceptor: Acceptor) -> None:
         if now >= self._next_discard_at:
             acceptor.discard_expired(now)
-            self._next_discard_at = now + DISCARD_MS
+            self._next_discard_at = now + DISCARD_INTERVAL_MS
         if not acceptor.is_ready(now) and now >= self._next_query_at:
-            self._next_query_at = now + FENCE_QUERY_MS * (0.5 + self._rng.random())
+            self._next_query_at = now + FENCE_QUERY_INTERVAL_MS * (0.5 + self._rng.random())
             query = Message(MessageType.FENCE_QUERY, 0, Ballot(0, self.node_id))
             for number in self.acceptors:
                 if number != self.number:
@@ -272,7 +272,7 @@
     def _schedule_tick(self, now: float, candidacy: Candidacy) -> None:
         at = candidacy.next_tick_at()
         if at < inf:
-            heapq.heappush(self._timers, (max(at, now + MIN_DELAY_MS), candidacy.proposer.lease_id))
+            heapq.heappush(self._timers, (max(at, now + MIN_TIMER_DELAY_MS), candidacy.proposer.lease_id))
 
     # --- messages ---
 
@@ -308,7 +308,7 @@
             self._schedule_tick(now, candidacy)
 
     def _handle_as_acceptor(self, now: float, sender: int, message: Message) -> None:
-        if self.acceptor is None or number_of(message.ballot.node_id) != sender:
+        if self.acceptor is None or dispatcher_number_of(message.ballot.node_id) != sender:
             return  # no dispatcher may ask in another's name
         for answer in self.acceptor.handle(now, message):
             self._send(now, sender, answer)
@@ -329,7 +329,7 @@
         lease_id = message.lease_id
         token = message.fencing_token
         node_id = message.ballot.node_id
-        if number_of(node_id) != sender or self._fencing.is_stale(lease_id, token, node_id):
+        if dispatcher_number_of(node_id) != sender or self._fencing.is_stale(lease_id, token, node_id):
             self._observer.broadcast_rejected(sender, token, self._fencing.newest(lease_id))
             return
         self._fencing.record(lease_id, token, node_id)
@@ -351,12 +351,12 @@
     def _send_all(self, now: float, messages: list[Message]) -> None:
         for message in messages:
             if message.type is MessageType.TRANSFER and message.owner is not None:
-                self.outbox.put(number_of(message.owner), message)
+                self.outbox.put(dispatcher_number_of(message.owner), message)
                 continue
             # All dispatchers learn of a release, so that the next holder need not wait for the lease to
             # expire.
-            everyone = (EVERYONE, self.number)
-            for receiver in everyone if message.type is MessageType.RELEASE else self.acceptors:
+            receivers_of_release = (ALL_PEERS, self.number)
+            for receiver in receivers_of_release if message.type is MessageType.RELEASE else self.acceptors:
                 self._send(now, receiver, message)
 
     def _send(self, now: float, receiver: int, message: Message) -> None:
@@ -371,5 +371,5 @@
         return max(known, self.acceptor.highest_token if self.acceptor is not None else 0)
 
 
-def _position(name: str, number: int) -> bytes:
-    return blake2b(f"{name}\n{number}".encode(), digest_size=ORDER_BYTES).digest()
+def _preference_hash(name: str, number: int) -> bytes:
+    return blake2b(f"{name}\n{number}".encode(), digest_size=PREFERENCE_HASH_BYTES).digest()
--- a/violetstack/lease/observer.py
+++ b/violetstack/lease/observer.py
@@ -29,7 +29,7 @@
         """A broadcast was outdated, or was sent in another dispatcher's name."""
 
 
-class IgnoreEvents:
+class NullObserver:
     """A LeaseObserver that does nothing."""
 
     def lease_changed(self, name: str, change: HolderChange) -> None:
--- a/violetstack/lease/outbox.py
+++ b/violetstack/lease/outbox.py
@@ -7,9 +7,9 @@
 from violetstack.lease.messages import MAX_MESSAGES, Message, MessageType, encode
 from violetstack.shared.rate_limit import TokenBucket
 
-EVERYONE = -1  # as a receiver: every other dispatcher of the tier
-GATHER_MS = 10.0  # messages wait for others to the same receiver
-RESERVE_FACTOR = 3.0  # new leases use a third of the capacity; the rest is for renewals and answers
+ALL_PEERS = -1  # as a receiver: every other dispatcher of the tier
+BATCHING_DELAY_MS = 10.0  # messages wait for others to the same receiver
+NEW_LEASE_CAPACITY_DIVISOR = 3.0  # new leases use a third of the capacity; renewals and answers the rest
 BURST_S = 0.5  # of datagrams
 
 
@@ -33,7 +33,7 @@
         self._bucket = TokenBucket(datagrams_per_s / 1000.0, burst, burst)
         self._waiting: dict[int, dict[tuple[MessageType, int, int], Message]] = {}
         self._broadcast_valid_until: dict[int, float] = {}
-        self._gathering_since: float | None = None
+        self._batching_since: float | None = None
 
     def put(self, receiver: int, message: Message) -> None:
         """Queue a message to a dispatcher, or to EVERYONE."""
@@ -46,28 +46,28 @@
     def put_broadcast(self, message: Message, valid_until: float) -> None:
         """Queue a BROADCAST that is dropped if it has not left before the holder's lease is over."""
         self._broadcast_valid_until[message.lease_id] = valid_until
-        self.put(EVERYONE, message)
+        self.put(ALL_PEERS, message)
 
     def is_congested(self, now: float) -> bool:
         """Return whether new leases should wait, so that renewals and answers still get through."""
         queued = sum(map(len, self._waiting.values()))
-        return queued > self._bucket.available(now) * MAX_MESSAGES / RESERVE_FACTOR
+        return queued > self._bucket.available(now) * MAX_MESSAGES / NEW_LEASE_CAPACITY_DIVISOR
 
     def is_ready(self, now: float) -> bool:
         """Return whether to flush now: messages have gathered for long enough, or fill a datagram."""
         if not self._waiting:
             return False
-        if self._gathering_since is None:
-            self._gathering_since = now
-        gathered = now >= self._gathering_since + GATHER_MS
-        return gathered or any(len(rows) >= MAX_MESSAGES for rows in self._waiting.values())
+        if self._batching_since is None:
+            self._batching_since = now
+        batch_due = now >= self._batching_since + BATCHING_DELAY_MS
+        return batch_due or any(len(queue) >= MAX_MESSAGES for queue in self._waiting.values())
 
     def next_flush_at(self, now: float) -> float:
         """Return when to flush next; infinity if nothing waits."""
         if not self._waiting:
             return inf
-        gathered_at = now if self._gathering_since is None else self._gathering_since + GATHER_MS
-        return max(gathered_at, self._bucket.next_token_at(now))
+        batch_due_at = now if self._batching_since is None else self._batching_since + BATCHING_DELAY_MS
+        return max(batch_due_at, self._bucket.next_token_at(now))
 
     def flush(self, now: float, highest_token: int) -> list[tuple[int, bytes]]:
         """Return the datagrams that may be sent now, each with its receiver.
@@ -87,7 +87,7 @@
                 datagrams.append((receiver, data))
                 self.datagrams_sent += 1
                 self.bytes_sent += len(data)
-        self._gathering_since = None if not self._waiting else now
+        self._batching_since = None if not self._waiting else now
         return datagrams
 
     def _is_valid(self, now: float, message: Message) -> bool:
--- a/violetstack/lease/outlier_checks.py
+++ b/violetstack/lease/outlier_checks.py
@@ -18,8 +18,8 @@
 from violetstack.policy_api import OutlierCheckResult
 
 LEASE_NAME_PREFIX = "try:"  # hashed into the lease id on the wire, and shown to operators
-ANNOUNCE_SHARE = 1 / 3  # of the lease duration: two announcements may be lost
-ATTEMPT_PATIENCE_MS = 9_000.0  # without an attempt: three times as long as a failure's penalty lasts
+ANNOUNCEMENT_INTERVAL_SHARE = 1 / 3  # of the lease duration: two announcements may be lost
+MAX_IDLE_CHECK_MS = 9_000.0  # without an attempt: three times as long as a failure's penalty lasts
 CHECKING = 0  # broadcast values
 SUCCEEDED = 1
 
@@ -43,7 +43,7 @@
     def __init__(self, now: float) -> None:
         """Start without holding the host's lease."""
         self.last_attempt_at = now
-        self.announce_at = now
+        self.next_announcement_at = now
         self.checked_here = False
 
 
@@ -105,28 +105,28 @@
                 self._node.campaign(lease_name(host))
         for host, suspect in list(self.suspects.items()):
             self._tick_suspect(now, host, suspect)
-        return now + self._announce_interval_ms
+        return now + self._announcement_interval_ms
 
     @property
-    def _announce_interval_ms(self) -> float:
-        return ANNOUNCE_SHARE * self._node.duration_ms
+    def _announcement_interval_ms(self) -> float:
+        return ANNOUNCEMENT_INTERVAL_SHARE * self._node.duration_ms
 
     def _tick_suspect(self, now: float, host: str, suspect: Suspect) -> None:
         name = lease_name(host)
         holds = self._node.holds(now, name)
         if holds and not suspect.checked_here:
             suspect.last_attempt_at = now
-            suspect.announce_at = now
+            suspect.next_announcement_at = now
             self._listener.outlier_check_started(host)
             self._listener.outlier_check_result(OutlierCheckResult(host, 0.0, False))
         suspect.checked_here = holds
         if not self._is_suspect(host):
             self._clear(now, host)
-        elif holds and now >= suspect.last_attempt_at + ATTEMPT_PATIENCE_MS:
+        elif holds and now >= suspect.last_attempt_at + MAX_IDLE_CHECK_MS:
             self._node.resign(now, name)
-        elif holds and now >= suspect.announce_at:
+        elif holds and now >= suspect.next_announcement_at:
             self._node.broadcast(now, name, CHECKING)
-            suspect.announce_at = now + self._announce_interval_ms
+            suspect.next_announcement_at = now + self._announcement_interval_ms
 
     def _clear(self, now: float, host: str) -> None:
         if self.suspects.pop(host, None) is not None:
--- a/violetstack/lease/proposer.py
+++ b/violetstack/lease/proposer.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from violetstack.lease.messages import Ballot, Message, MessageType, number_of
-from violetstack.lease.retry_schedule import ATTEMPT_TIMEOUT_MS, RESEND_MS, RetrySchedule
+from violetstack.lease.messages import Ballot, Message, MessageType, dispatcher_number_of
+from violetstack.lease.retry_schedule import ATTEMPT_TIMEOUT_MS, RESEND_INTERVAL_MS, RetrySchedule
 
 
 class Phase(Enum):
@@ -133,7 +133,7 @@
             self.round.phase = Phase.IDLE
             self.next_attempt_at = now
             return self.tick(now)
-        self._lose(now, "resigned")
+        self._record_loss(now, "resigned")
         return [self._release_message()]
 
     def on_newer_token(self, now: float, token: int) -> list[Message]:
@@ -144,7 +144,7 @@
         self.highest_token = max(self.highest_token, token)
         if not self.holds(now):
             return []
-        self._lose(now, f"fencing token {self.fencing_token} is older than {token}")
+        self._record_loss(now, f"fencing token {self.fencing_token} is older than {token}")
         self.next_attempt_at = now
         return [self._release_message()]
 
@@ -156,15 +156,15 @@
     def tick(self, now: float) -> list[Message]:
         """Start, repeat or give up an attempt. Call at `next_tick_at`, and after each message."""
         if self.expires_at and now >= self.expires_at:
-            self._lose(now, "not renewed in time")
+            self._record_loss(now, "not renewed in time")
         if self.next_attempt_at is None:
             self.next_attempt_at = now + self._schedule.first_attempt_ms()
-        if not self._has_reason_to_ask() or now < self.next_attempt_at:
+        if not self._has_reason_to_propose() or now < self.next_attempt_at:
             return []
         if self.round.phase is Phase.IDLE:
             return [self._prepare(now)]
         if now < self.round.sent_at + ATTEMPT_TIMEOUT_MS:
-            self.next_attempt_at = now + RESEND_MS
+            self.next_attempt_at = now + RESEND_INTERVAL_MS
             return [self.round.request]
         self.abandon_round(now)
         return []
@@ -172,18 +172,18 @@
     def next_tick_at(self) -> float:
         """Return when to call `tick` next; infinity if there is nothing to do before a message arrives."""
         attempt_at = inf
-        if self._has_reason_to_ask():
+        if self._has_reason_to_propose():
             attempt_at = 0.0 if self.next_attempt_at is None else self.next_attempt_at
         return min(attempt_at, self.expires_at or inf)
 
-    def _has_reason_to_ask(self) -> bool:
+    def _has_reason_to_propose(self) -> bool:
         return self.eligible or self._successor is not None
 
     def _prepare(self, now: float) -> Message:
         ballot = Ballot(self.round.ballot.round + 1, self.node_id)
         request = Message(MessageType.PREPARE, self.lease_id, ballot)
         self.round = BallotRound(ballot, request, Phase.PREPARING, sent_at=now, held_at_start=self.holds(now))
-        self.next_attempt_at = now + RESEND_MS
+        self.next_attempt_at = now + RESEND_INTERVAL_MS
         return request
 
     # --- messages ---
@@ -225,11 +225,11 @@
         if message.owner is None or message.owner == self.node_id or self.holds(now):
             self.abandon_round(now)
         else:
-            self._stand_by(now, message.owner, message.duration_ms)
+            self._wait_for_expiry(now, message.owner, message.duration_ms)
 
     def _on_promise(self, now: float, acceptor: int, message: Message) -> list[Message]:
         if message.owner is not None and message.owner != self.node_id:
-            self._stand_by(now, message.owner, message.duration_ms)
+            self._wait_for_expiry(now, message.owner, message.duration_ms)
             return []
         self.round.answered_by.add(acceptor)
         if len(self.round.answered_by) < self.quorum:
@@ -254,11 +254,11 @@
         if now >= expires_at:
             self.abandon_round(now)
         else:
-            self._hold(now, expires_at, self.round.fencing_token)
+            self._record_acquisition(now, expires_at, self.round.fencing_token)
         return []
 
     def _transfer(self, now: float, successor: int) -> Message:
-        self._lose(now, f"transferred to {number_of(successor)}")
+        self._record_loss(now, f"transferred to {dispatcher_number_of(successor)}")
         return self._propose(now, successor, self.fencing_token + 1)
 
     def _propose(self, now: float, owner: int, token: int) -> Message:
@@ -273,12 +273,12 @@
             held_at_start=self.round.held_at_start,
             fencing_token=token,
         )
-        self.next_attempt_at = now + RESEND_MS
+        self.next_attempt_at = now + RESEND_INTERVAL_MS
         return request
 
     # --- changes of holder ---
 
-    def _hold(self, now: float, expires_at: float, token: int) -> None:
+    def _record_acquisition(self, now: float, expires_at: float, token: int) -> None:
         if not self.expires_at:
             self.changes.append(HolderChange(self.lease_id, True, token, "elected"))
         self.observed_holder = self.observed_holder._replace(node_id=None)
@@ -287,7 +287,7 @@
         self._schedule.reset_failures()
         self.next_attempt_at = self._schedule.renewal_at(now)
 
-    def _lose(self, now: float, reason: str) -> None:
+    def _record_loss(self, now: float, reason: str) -> None:
         if self.expires_at:
             self.changes.append(HolderChange(self.lease_id, False, self.fencing_token, reason))
         self.expires_at = 0.0
@@ -304,7 +304,7 @@
         self._successor = None
         self.next_attempt_at = now + self._schedule.after_failure_ms()
 
-    def _stand_by(self, now: float, holder: int, remaining_ms: float) -> None:
+    def _wait_for_expiry(self, now: float, holder: int, remaining_ms: float) -> None:
         """Wait for another holder's lease to end; backing off further would only delay the next one."""
         self.observed_holder = ObservedHolder(holder, now + remaining_ms)
         self.next_attempt_at = self.observed_holder.expires_at + self._schedule.after_expiry_ms()
--- a/violetstack/lease/quorum.py
+++ b/violetstack/lease/quorum.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-LARGE_FLEET = 50
-MAX_ACCEPTORS_SMALL_FLEET = 5  # two may fail
-MAX_ACCEPTORS_LARGE_FLEET = 7  # three may fail
-ALL_ACCEPT_UP_TO = 4
+MIN_LARGE_FLEET = 50
+ACCEPTORS_OF_MEDIUM_FLEET = 5  # two may fail
+ACCEPTORS_OF_LARGE_FLEET = 7  # three may fail
+MAX_FLEET_OF_ACCEPTORS = 4
 
 
 def acceptor_numbers(fleet_size: int) -> tuple[int, ...]:
@@ -13,12 +13,12 @@
 
     All of a fleet of up to four are acceptors, five of a larger one, and seven of fifty and more.
     """
-    if fleet_size <= ALL_ACCEPT_UP_TO:
+    if fleet_size <= MAX_FLEET_OF_ACCEPTORS:
         count = fleet_size
-    elif fleet_size < LARGE_FLEET:
-        count = MAX_ACCEPTORS_SMALL_FLEET
+    elif fleet_size < MIN_LARGE_FLEET:
+        count = ACCEPTORS_OF_MEDIUM_FLEET
     else:
-        count = MAX_ACCEPTORS_LARGE_FLEET
+        count = ACCEPTORS_OF_LARGE_FLEET
     return tuple(n * fleet_size // count for n in range(count))
 
 
--- a/violetstack/lease/restart_permits.py
+++ b/violetstack/lease/restart_permits.py
@@ -33,7 +33,7 @@
                 self._node.campaign(name, unconditional=True)
         self._requested_at = now
 
-    def use(self) -> None:
+    def keep_until_exit(self) -> None:
         """Keep the permit until this process ends, whether or not the request is repeated."""
         self._restarting = True
 
@@ -46,12 +46,12 @@
             for name in self.names:
                 self._node.withdraw(now, name)
 
-    def held(self, now: float) -> str | None:
+    def held_permit(self, now: float) -> str | None:
         """Return the name of the permit that is held here, if there is one; release any others."""
-        held = [name for name in self.names if self._node.holds(now, name)]
-        for name in held[1:]:
+        held_names = [name for name in self.names if self._node.holds(now, name)]
+        for name in held_names[1:]:
             self._node.withdraw(now, name)
-        return held[0] if held else None
+        return held_names[0] if held_names else None
 
     def denial_reason(self, now: float) -> str:
         """Return why there is no permit, for an operator."""
--- a/violetstack/lease/retry_schedule.py
+++ b/violetstack/lease/retry_schedule.py
@@ -5,12 +5,12 @@
 import random
 
 ATTEMPT_TIMEOUT_MS = 300.0  # for a majority's answers
-RESEND_MS = 70.0  # to acceptors that may not have got the message
-BACKOFF_MS = 100.0
+RESEND_INTERVAL_MS = 70.0  # to acceptors that may not have got the message
+BASE_BACKOFF_MS = 100.0
 MAX_BACKOFF_MS = 2_000.0
 MAX_DOUBLINGS = 10
-STANDBY_STEP_MS = 60.0  # between one standby and the next: two round trips
-STANDBYS_PER_TIER = 2  # the first two check each lease duration, each two after them half as often
+STANDBY_INTERVAL_MS = 60.0  # between one standby and the next: two round trips
+STANDBYS_PER_GROUP = 2  # the first two check each lease duration, each two after them half as often
 RENEWAL_SHARE = 1 / 3  # of the lease duration: two renewals may be lost
 RENEWAL_GRID_SHARE = 1 / 20  # of the lease duration
 MIN_JITTER = 0.2
@@ -36,11 +36,11 @@
 
     def first_attempt_ms(self) -> float:
         """Return the delay before the first attempt."""
-        return self._standby_ms() + self._rng.random() * BACKOFF_MS
+        return self._standby_ms() + self._rng.random() * BASE_BACKOFF_MS
 
     def backoff_ms(self) -> float:
         """Return the delay after the lease was lost."""
-        return self._jittered(BACKOFF_MS)
+        return self._jittered(BASE_BACKOFF_MS)
 
     def after_failure_ms(self) -> float:
         """Return the delay after a failed attempt.
@@ -48,19 +48,19 @@
         Its window doubles with each failure, so that two rivals do not collide for ever.
         """
         doublings = min(self._failures, MAX_DOUBLINGS)
-        return self._jittered(min(MAX_BACKOFF_MS, BACKOFF_MS * 2.0**doublings))
+        return self._jittered(min(MAX_BACKOFF_MS, BASE_BACKOFF_MS * 2.0**doublings))
 
     def after_failed_renewal_ms(self) -> float:
         """Return the delay after a failed renewal, which has no rival to make way for."""
-        return self._jittered(RESEND_MS)
+        return self._jittered(RESEND_INTERVAL_MS)
 
     def after_expiry_ms(self) -> float:
         """Return the delay after the end of another holder's lease."""
-        return self._jittered(BACKOFF_MS) + self._standby_ms()
+        return self._jittered(BASE_BACKOFF_MS) + self._standby_ms()
 
     def after_release_ms(self) -> float:
         """Return the delay after another holder has released the lease."""
-        return self._jittered(BACKOFF_MS) + self._rank % STANDBYS_PER_TIER * STANDBY_STEP_MS
+        return self._jittered(BASE_BACKOFF_MS) + self._rank % STANDBYS_PER_GROUP * STANDBY_INTERVAL_MS
 
     def renewal_at(self, now: float) -> float:
         """Return when to renew a lease that was acquired or renewed now.
@@ -80,8 +80,8 @@
         self._failures = 0
 
     def _standby_ms(self) -> float:
-        tier = min(MAX_DOUBLINGS, self._rank // STANDBYS_PER_TIER)
-        return self._rank % STANDBYS_PER_TIER * STANDBY_STEP_MS + (2.0**tier - 1.0) * self._lease_ms
+        group = min(MAX_DOUBLINGS, self._rank // STANDBYS_PER_GROUP)
+        return self._rank % STANDBYS_PER_GROUP * STANDBY_INTERVAL_MS + (2.0**group - 1.0) * self._lease_ms
 
     def _jittered(self, max_ms: float) -> float:
         return max_ms * (MIN_JITTER + (1.0 - MIN_JITTER) * self._rng.random())
--- a/violetstack/net/lease_service.py
+++ b/violetstack/net/lease_service.py
@@ -16,7 +16,7 @@
 from violetstack.lease.messages import is_lease_datagram
 from violetstack.lease.node import LeaseNode, NodeSettings
 from violetstack.lease.observer import Broadcast
-from violetstack.lease.outbox import EVERYONE
+from violetstack.lease.outbox import ALL_PEERS
 from violetstack.lease.outlier_checks import OutlierChecks
 from violetstack.lease.proposer import HolderChange
 from violetstack.lease.restart_permits import RestartPermits
@@ -108,7 +108,7 @@
     def _tick(self) -> None:
         self.node.set_eligible(now_ms(), self._is_eligible())
         for receiver, data in self.node.tick(now_ms()):
-            if receiver == EVERYONE:
+            if receiver == ALL_PEERS:
                 self._transport.broadcast(data)
             else:
                 self._transport.send(receiver, data)
@@ -174,7 +174,7 @@
             return None
         self.restart_permits.request(now_ms())
         self._woken.set()
-        if self.restart_permits.held(now_ms()) is not None:
+        if self.restart_permits.held_permit(now_ms()) is not None:
             return None
         return self.restart_permits.denial_reason(now_ms())
 
@@ -194,8 +194,8 @@
             await trio.sleep(PERMIT_POLL_S)
             denial = self.request_restart_permit()
         waited_ms = round((trio.current_time() - started) * 1000.0)
-        permit = permits.held(now_ms())
-        permits.use()
+        permit = permits.held_permit(now_ms())
+        permits.keep_until_exit()
         if permit is not None:
             log("restart_permit_acquired", permit=permit, waited_ms=waited_ms)
         else:
--- a/violetstack/simulation/lease_cluster.py
+++ b/violetstack/simulation/lease_cluster.py
@@ -10,7 +10,7 @@
 
 from violetstack.lease.messages import lease_id_of
 from violetstack.lease.node import LeaseNode, NodeSettings
-from violetstack.lease.outbox import EVERYONE
+from violetstack.lease.outbox import ALL_PEERS
 from violetstack.lease.proposer import Proposer
 from violetstack.lease.quorum import acceptor_numbers
 
@@ -140,7 +140,7 @@
     # --- the network ---
 
     def _send(self, sender: int, receiver: int, data: bytes) -> None:
-        for number in range(self.size) if receiver == EVERYONE else [receiver]:
+        for number in range(self.size) if receiver == ALL_PEERS else [receiver]:
             for _ in range(1 + (self._rng.random() < DUPLICATE_SHARE)):
                 if number != sender and self._rng.random() >= self._loss:
                     self._send_one(sender, number, data)
--- a/violetstack/simulation/model_state.py
+++ b/violetstack/simulation/model_state.py
@@ -90,8 +90,8 @@
     acceptor.quarantined_until = snapshot.quarantined_until
     acceptor.highest_token = snapshot.highest_token
     acceptor.recovery_deadline = float("inf")
-    acceptor.replies_needed = FENCE_REPLIES_NEEDED
-    acceptor.replies = set(range(snapshot.fence_replies))
+    acceptor.fence_replies_needed = FENCE_REPLIES_NEEDED
+    acceptor.fence_replies_from = set(range(snapshot.fence_replies))
     acceptor.leases = {
         LEASE_ID: AcceptorState(
             snapshot.promised,
@@ -139,7 +139,7 @@
         fencing_token=state.fencing_token,
         highest_token=acceptor.highest_token,
         quarantined_until=acceptor.quarantined_until,
-        fence_replies=len(acceptor.replies),
+        fence_replies=len(acceptor.fence_replies_from),
     )
 
 
