--- a/violetstack/lease/acceptor.py
+++ b/violetstack/lease/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor of PaxosLease: promises ballots, accepts one owner at a time, expires leases by its clock."""
+"""The PaxosLease acceptor: promises ballots, accepts one owner per lease, expires leases by its own clock."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class AcceptorState(msgspec.Struct):
-    """What an acceptor remembers of one lease; times are its own milliseconds.
+    """The state of one lease at an acceptor. Times are the acceptor's monotonic milliseconds.
 
     Attributes:
-        promised: The highest ballot that was promised.
+        promised: The highest ballot promised.
         accepted: The ballot of the accepted proposal.
-        owner: The node id of the owner; None if there is none.
-        expires_at: When the accepted lease is over.
-        fencing_token: The highest token that was accepted.
+        owner: The node id of the lease's owner; None if there is none.
+        expires_at: When the accepted lease expires.
+        fencing_token: The highest fencing token accepted.
         promised_at: When the last promise was made.
     """
 
@@ -34,29 +34,30 @@
 class Acceptor:
     """Grants leases as one of a fixed set of acceptors. Times are this process's monotonic milliseconds.
 
-    An acceptor keeps nothing on disk, so one that has restarted does not know what it granted before. It
-    therefore answers nothing for the longest lease duration, and until as many of the others as are a
-    majority of all acceptors have replied with the highest fencing token. If too many have restarted at once
-    for that, it stops waiting for replies after another such duration.
+    An acceptor keeps nothing on disk, so after a restart it does not know which leases it granted before. It
+    therefore answers no message for the longest lease duration, and then until enough of the other acceptors
+    have replied with the highest fencing token that they know: as many as are a majority of all acceptors.
+    If too many acceptors have restarted at the same time for that, it stops waiting for replies after
+    another such duration.
 
     Attributes:
-        quarantined_until: Until when nothing is answered after a restart.
-        recovery_deadline: Until when replies are waited for after the quarantine.
-        fence_replies_needed: How many other acceptors have to reply to a FENCE_QUERY.
-        fence_replies_from: The numbers of those that have replied.
-        highest_token: The highest fencing token that this acceptor knows of any lease.
-        leases: The state of each lease by lease id.
+        quarantined_until: The time before which a restarted acceptor answers no message.
+        recovery_deadline: The time after which it no longer waits for replies to its FENCE_QUERY.
+        fence_replies_needed: How many other acceptors have to reply to the FENCE_QUERY.
+        fence_replies_from: The dispatcher numbers of the acceptors that have replied.
+        highest_token: The highest fencing token that this acceptor has seen, of any lease.
+        leases: The state of each lease, by lease id.
     """
 
     def __init__(self, now: float, max_duration_ms: float, other_acceptors: int, *, restarted: bool) -> None:
-        """Start an acceptor.
+        """Creates an acceptor.
 
         Args:
-            now: The present time.
-            max_duration_ms: The longest lease that is granted.
-            other_acceptors: How many acceptors there are besides this one.
-            restarted: Whether it may have granted leases before. False only in a tier that never had a
-                holder.
+            now: The current time.
+            max_duration_ms: The longest lease duration that is granted.
+            other_acceptors: The number of acceptors besides this one.
+            restarted: Whether an earlier process may have granted leases as this acceptor. False only in a
+                tier where no lease was ever held.
         """
         self._max_duration_ms = max_duration_ms
         quarantine_ms = with_drift_margin(max_duration_ms) if restarted else 0.0
@@ -68,22 +69,22 @@
         self.leases: dict[int, AcceptorState] = {}
 
     def is_ready(self, now: float) -> bool:
-        """Return whether it answers proposers, which a restarted acceptor at first does not."""
+        """Returns whether this acceptor answers messages; a restarted one at first does not."""
         if now < self.quarantined_until:
             return False
         return len(self.fence_replies_from) >= self.fence_replies_needed or now >= self.recovery_deadline
 
     def observe_token(self, token: int) -> None:
-        """Take note of a fencing token that was seen in a message."""
+        """Records a fencing token that was seen in a message."""
         self.highest_token = max(self.highest_token, token)
 
     def on_fence_reply(self, acceptor: int, token: int) -> None:
-        """Take the reply to a FENCE_QUERY from another acceptor that was ready."""
+        """Handles the reply of another acceptor to a FENCE_QUERY; only acceptors that are ready reply."""
         self.fence_replies_from.add(acceptor)
         self.observe_token(token)
 
     def handle(self, now: float, message: Message) -> list[Message]:
-        """Return the answer to a message's sender, if there is one."""
+        """Handles a message and returns the answers to its sender: at most one."""
         if not self.is_ready(now):
             return []
         match message.type:
@@ -135,10 +136,11 @@
         return state
 
     def discard_expired(self, now: float) -> None:
-        """Bound the memory: drop leases that have no owner and no recent promise.
+        """Drops the state of leases without an owner and without a recent promise, to bound the memory.
 
-        `highest_token` keeps the fencing tokens growing. A promise is kept for twice the longest duration: a
-        proposal that it forbids was sent before the first of them was over, and grants at most the second.
+        Fencing tokens still grow, because `highest_token` covers the dropped leases. A promise is kept for
+        twice the longest lease duration: a proposal that the promise forbids was sent within the first
+        duration, and the lease that it proposes ends within the second.
         """
         promise_ms = 2.0 * with_drift_margin(self._max_duration_ms)
         for lease_id, state in list(self.leases.items()):
--- a/violetstack/lease/candidacy.py
+++ b/violetstack/lease/candidacy.py
@@ -1,4 +1,4 @@
-"""A lease that a node wants, and how operators see it."""
+"""A lease that a node campaigns for, and the view of it that operators get."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
     Attributes:
         name: The lease's name.
-        holder: The holder's dispatcher number; None if there is none, or it is not known.
-        held_here: Whether this dispatcher holds it.
-        fencing_token: The token by which this dispatcher holds it, or held it last.
-        remaining_ms: How much of the lease is left.
-        changed_at: When this dispatcher last acquired or lost it; None if it never did.
-        reason: Why it did.
+        holder: The dispatcher number of the holder; None if there is no holder or it is not known.
+        held_here: Whether this dispatcher holds the lease.
+        fencing_token: The fencing token under which this dispatcher holds the lease or last held it.
+        remaining_ms: The time until the lease expires.
+        changed_at: When this dispatcher last acquired or lost the lease; None if it never did.
+        reason: Why it acquired or lost the lease.
     """
 
     name: str
@@ -32,19 +32,20 @@
 
 
 class Candidacy:
-    """A lease that this node wants.
+    """A lease that this node campaigns for.
 
     Attributes:
         name: The lease's name.
-        proposer: Acquires it.
-        unconditional: Whether the node asks for it also while it is not eligible.
-        cooldown_until: Until when the node leaves it to others, having resigned it; None if it does not.
-        changed_at: When this node last acquired or lost it; None if it never did.
-        reason: Why it did.
+        proposer: The proposer that acquires and renews the lease.
+        unconditional: Whether the node campaigns for the lease also while it is not eligible.
+        cooldown_until: After a resignation, the time before which the node does not acquire the lease again;
+            None outside of such a cooldown.
+        changed_at: When this node last acquired or lost the lease; None if it never did.
+        reason: Why it acquired or lost the lease.
     """
 
     def __init__(self, name: str, proposer: Proposer, *, unconditional: bool) -> None:
-        """Start without the lease."""
+        """Creates a candidacy for a lease that is not held."""
         self.name = name
         self.proposer = proposer
         self.unconditional = unconditional
@@ -53,17 +54,22 @@
         self.reason = ""
 
     def next_tick_at(self) -> float:
-        """Return when the proposer has something to do, or the cooldown ends."""
+        """Returns when the proposer has to act next, or the cooldown ends, whichever is earlier."""
         at = self.proposer.next_tick_at()
         return at if self.cooldown_until is None else min(at, self.cooldown_until)
 
     def record_change(self, now: float, change: HolderChange) -> None:
-        """Remember for `view` that this node acquired or lost the lease."""
+        """Records, for `view`, that this node acquired or lost the lease."""
         self.changed_at = now
         self.reason = change.reason
 
     def view(self, now: float, number: int) -> LeaseView:
-        """Describe the lease as dispatcher `number`, which this node is, sees it."""
+        """Returns the view of the lease for operators.
+
+        Args:
+            now: The current time.
+            number: The dispatcher number of this node.
+        """
         proposer = self.proposer
         holds = proposer.holds(now)
         if holds:
@@ -77,7 +83,11 @@
         )
 
     def _observed_number(self, now: float) -> int | None:
-        """Return the holder's number until the next attempt, after its lease, finds out who holds it then."""
+        """Returns the dispatcher number of the last observed holder, None if it may have changed.
+
+        After the observed lease has expired, the number is still returned for the time that the next attempt
+        takes to find out who holds the lease then.
+        """
         observed = self.proposer.observed_holder
         if observed.node_id is None or now >= observed.expires_at + ATTEMPT_TIMEOUT_MS:
             return None
--- a/violetstack/lease/clock_drift.py
+++ b/violetstack/lease/clock_drift.py
@@ -1,4 +1,4 @@
-"""The margin by which an observer extends a duration that another machine's clock measures."""
+"""The margin by which an observer extends a duration measured by another machine's clock."""
 
 from __future__ import annotations
 
@@ -6,9 +6,8 @@
 
 
 def with_drift_margin(duration: float) -> float:
-    """Return how long `duration` of another machine's clock can take on this one, in the same unit.
+    """Returns how long a `duration` on another machine's clock may take on this machine's, in the same unit.
 
-    The worst case is an owner's clock that runs slow and an observer's that runs fast, by MAX_CLOCK_DRIFT
-    each.
+    In the worst case the owner's clock runs slow and the observer's clock runs fast, each by MAX_CLOCK_DRIFT.
     """
     return duration * (1.0 + MAX_CLOCK_DRIFT) / (1.0 - MAX_CLOCK_DRIFT)
--- a/violetstack/lease/errors.py
+++ b/violetstack/lease/errors.py
@@ -8,30 +8,30 @@
 
 
 class InvalidDatagramError(LeaseError):
-    """A datagram that can't be decoded or authenticated; its text is the reason."""
+    """A datagram cannot be decoded or authenticated; the error's text is the reason."""
 
 
 class DatagramSizeError(InvalidDatagramError):
-    """A datagram has a length that no lease datagram has."""
+    """The length of a datagram is not that of a lease datagram."""
 
     def __init__(self, size: int) -> None:
-        """Keep the length in bytes."""
+        """Creates an error that names the length in bytes."""
         super().__init__(f"{size} bytes")
         self.size = size
 
 
 class DatagramVersionError(InvalidDatagramError):
-    """A datagram is of another protocol or version."""
+    """A datagram belongs to another protocol or another version of this one."""
 
     def __init__(self, version: int) -> None:
-        """Keep the version."""
+        """Creates an error that names the version."""
         super().__init__(f"version {version}")
         self.version = version
 
 
 class DatagramTagError(InvalidDatagramError):
-    """A datagram's authentication tag fits none of the keys."""
+    """The authentication tag of a datagram matches none of the keys."""
 
     def __init__(self) -> None:
-        """Name the reason."""
-        super().__init__("its hash fits no key")
+        """Creates an error with a fixed text."""
+        super().__init__("authentication tag matches no key")
--- a/violetstack/lease/fencing.py
+++ b/violetstack/lease/fencing.py
@@ -1,10 +1,10 @@
-"""Fencing: actions under a lease that carry an outdated token are refused by whoever would apply them."""
+"""Fencing: the receiver of an action under a lease rejects the action if its fencing token is outdated."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MAX_TRACKED_LEASES = 4_096  # whose newest token is remembered
+MAX_TRACKED_LEASES = 4_096  # bounds the memory
 
 
 class NewestToken(NamedTuple):
@@ -15,30 +15,30 @@
 
 
 class FencingFilter:
-    """Remembers the newest fencing token of each lease.
+    """Keeps the newest fencing token of each lease.
 
-    The lease protocol alone can't stop a holder that was paused between checking its lease and sending
-    under it; the token that it sends is then older than its successor's.
+    The lease protocol alone cannot stop a holder that is paused after it has checked its lease and before it
+    sends a message under the lease. The fencing token in that message is then older than the next holder's.
     """
 
     def __init__(self) -> None:
-        """Start without any token seen."""
+        """Creates a filter that has seen no token."""
         self._newest: dict[int, NewestToken] = {}
 
     def newest(self, lease_id: int) -> int:
-        """Return the newest token seen of a lease, 0 if none was."""
+        """Returns the newest token seen for a lease, 0 if there is none."""
         seen = self._newest.get(lease_id)
         return 0 if seen is None else seen.fencing_token
 
     def is_stale(self, lease_id: int, token: int, node_id: int) -> bool:
-        """Return whether the token is older than the newest one, or is that one and another node's."""
+        """Returns whether the token is older than the newest one, or is the newest one of another node."""
         seen = self._newest.get(lease_id)
         if seen is None:
             return False
         return token < seen.fencing_token or (token == seen.fencing_token and node_id != seen.node_id)
 
     def record(self, lease_id: int, token: int, node_id: int) -> None:
-        """Remember a token that was accepted; the lease that was recorded longest ago makes room."""
+        """Records an accepted token; beyond MAX_TRACKED_LEASES drops the least recently recorded lease."""
         self._newest.pop(lease_id, None)
         self._newest[lease_id] = NewestToken(token, node_id)
         if len(self._newest) > MAX_TRACKED_LEASES:
--- a/violetstack/lease/messages.py
+++ b/violetstack/lease/messages.py
@@ -1,9 +1,10 @@
 """The wire format of leases: messages of 25 bytes, several to a datagram of at most 256 bytes.
 
-The length of a datagram is never a multiple of three, which is what load gossip has on the same socket, so a
-version without leases does not mistake one for gossip. Where a key is configured, the last eight bytes are a
-keyed BLAKE2b hash (RFC 7693) of the rest and of the sender's number. A receiver without the key still reads
-the messages, so a key can be rolled out to one dispatcher after another.
+Load gossip uses the same socket, and its datagrams have a multiple of three bytes. The length of a lease
+datagram is never a multiple of three, so that a release without leases does not mistake one for gossip. Where
+a key is configured, the last eight bytes are a keyed BLAKE2b hash (RFC 7693) of the rest and of the sender's
+number. A receiver without the key still reads the messages, so a key can be rolled out to one dispatcher
+after another.
 """
 
 from __future__ import annotations
@@ -25,31 +26,31 @@
 MAX_PADDING_BYTES = 2
 NO_OWNER = 0xFFFFFFFF
 MAX_MESSAGES = (MAX_DATAGRAM_BYTES - HEADER.size - TAG_BYTES - MAX_PADDING_BYTES) // MESSAGE.size
-NUMBER_BITS = 12  # of a node id; the rest is the incarnation
+NUMBER_BITS = 12  # the low bits of a node id hold the dispatcher number, the others the incarnation
 NUMBER_MASK = (1 << NUMBER_BITS) - 1
 INCARNATION_MASK = 0xFFFFF
 
 
 class MessageType(IntEnum):
-    """The kinds of message; the values are on the wire."""
+    """The types of messages; the values are on the wire."""
 
     PREPARE = 1  # proposer to acceptors, phase 1
-    PROMISE = 2  # acceptor: lower ballots are refused from now on; the owner, and the time that it has left
-    PROPOSE = 3  # proposer to acceptors, phase 2: the owner, and the duration of its lease
-    ACCEPTED = 4
-    REJECTED = 5  # acceptor: a higher ballot was promised; the owner as in PROMISE
-    RELEASE = 6  # holder to all: the lease is free
+    PROMISE = 2  # acceptor to proposer: rejects lower ballots from now on; names the owner and its time left
+    PROPOSE = 3  # proposer to acceptors, phase 2: proposes an owner and the duration of its lease
+    ACCEPTED = 4  # acceptor to proposer
+    REJECTED = 5  # acceptor to proposer: a higher ballot was promised; names the owner as in PROMISE
+    RELEASE = 6  # holder to all dispatchers: the lease is free
     TRANSFER = 7  # holder to its successor, once a majority has accepted the successor as the owner
-    FENCE_QUERY = 8  # restarted acceptor to the others: what is the highest fencing token?
-    FENCE_REPLY = 9
-    BROADCAST = 10  # holder to all, under its fencing token; `duration_ms` is the value
+    FENCE_QUERY = 8  # restarted acceptor to the other acceptors: asks for the highest fencing token
+    FENCE_REPLY = 9  # acceptor to the restarted acceptor
+    BROADCAST = 10  # holder to all dispatchers, under its fencing token; `duration_ms` carries the value
 
 
 MESSAGE_TYPES = frozenset(MessageType)
 
 
 class Ballot(NamedTuple):
-    """A ballot number, ordered by round and then by proposer, so that no two proposers use the same one."""
+    """A ballot number, ordered by round, then by the proposer's node id, which makes it unique."""
 
     round: int
     node_id: int
@@ -59,11 +60,11 @@
     """One message about one lease.
 
     Attributes:
-        type: The kind of message.
+        type: The type of the message.
         lease_id: The hash of the lease's name, see `lease_id_of`.
-        ballot: The proposer's ballot, or the highest promised one in REJECTED.
-        fencing_token: The token of the lease, or the highest one that the sender knows.
-        duration_ms: How long a lease is or has left; in BROADCAST, the value.
+        ballot: The proposer's ballot; in REJECTED, the highest promised one.
+        fencing_token: The fencing token of the lease, or the highest one that the sender knows.
+        duration_ms: The duration of a lease, or the time that it has left; in BROADCAST, the value.
         owner: The node id of the lease's owner; None if there is none.
     """
 
@@ -76,35 +77,35 @@
 
 
 class Datagram(NamedTuple):
-    """A decoded datagram: the highest fencing token known to its sender, and its messages."""
+    """A decoded datagram: the highest fencing token known to its sender, and the messages."""
 
     highest_token: int
     messages: list[Message]
 
 
 def node_id_of(number: int, incarnation: int) -> int:
-    """Return the id of one process of dispatcher `number` (under 4,096).
+    """Returns the node id of one process of dispatcher `number` (less than 4,096).
 
-    A process that was started again, or that took over by a hot restart, has another incarnation and so
-    another id. The id is never NO_OWNER.
+    A process that was started again, or that took over in a hot restart, has another incarnation and
+    therefore another node id. The node id is never NO_OWNER.
     """
     return (incarnation & INCARNATION_MASK) % INCARNATION_MASK << NUMBER_BITS | number
 
 
 def dispatcher_number_of(node_id: int) -> int:
-    """Return the dispatcher number of a node id."""
+    """Returns the dispatcher number of a node id."""
     return node_id & NUMBER_MASK
 
 
 def lease_id_of(name: str) -> int:
-    """Return the 32-bit id of a lease's name. Names with the same id share one lease, which is safe."""
+    """Returns the 32-bit id of a lease's name. Names with the same id share one lease, which is safe."""
     return int.from_bytes(blake2b(name.encode(), digest_size=4).digest(), "big")
 
 
 def encode(messages: list[Message], highest_token: int, sender: int = 0, key: bytes = b"") -> bytes:
-    """Encode the first MAX_MESSAGES of `messages` as a datagram of dispatcher `sender`.
+    """Encodes the first MAX_MESSAGES of `messages` as a datagram of dispatcher `sender`.
 
-    An empty `key` leaves the authentication tag out.
+    With an empty `key` the datagram has no authentication tag.
     """
     parts = [HEADER.pack(MAGIC, VERSION, highest_token)]
     for kind, lease_id, ballot, token, duration, owner in messages[:MAX_MESSAGES]:
@@ -117,27 +118,30 @@
 
 
 def authentication_tag(data: bytes, sender: int, key: bytes) -> bytes:
-    """Return the keyed hash of a datagram and its sender: no dispatcher can send in another's name."""
+    """Returns the keyed hash of a datagram and its sender's number.
+
+    The number is part of the hash so that no datagram can be replayed in the name of another dispatcher.
+    """
     return blake2b(data, key=key, digest_size=TAG_BYTES, person=sender.to_bytes(4, "big")).digest()
 
 
 def is_lease_datagram(data: bytes) -> bool:
-    """Tell lease datagrams from load gossip, which shares the socket."""
+    """Returns whether a datagram is a lease datagram and not load gossip, which uses the same socket."""
     return len(data) % 3 == 1 and data[:2] == MAGIC
 
 
 def decode(data: bytes, sender: int = 0, keys: tuple[bytes, ...] = ()) -> Datagram:
-    """Decode a datagram of dispatcher `sender`; messages of unknown type are left out.
+    """Decodes a datagram of dispatcher `sender`; messages of unknown type are skipped.
 
     Args:
         data: The datagram.
-        sender: The number of the dispatcher that it came from.
-        keys: If not empty, the authentication tag has to fit one of them.
+        sender: The number of the dispatcher that sent the datagram.
+        keys: If not empty, the authentication tag has to match one of them.
 
     Raises:
-        DatagramSizeError: It is too short, too long, or of a length that load gossip has.
-        DatagramVersionError: It is of another protocol or version.
-        DatagramTagError: Its authentication tag fits none of the keys.
+        DatagramSizeError: The datagram is too short, too long, or not of the length of a lease datagram.
+        DatagramVersionError: The datagram belongs to another protocol or version.
+        DatagramTagError: The authentication tag matches none of the keys.
     """
     if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES or len(data) % 3 != 1:
         raise DatagramSizeError(len(data))
@@ -152,7 +156,7 @@
     messages = []
     for at in range(HEADER.size, len(data) - MESSAGE.size + 1, MESSAGE.size):
         kind, lease_id, ballot_round, node_id, token, duration, owner = MESSAGE.unpack_from(data, at)
-        if kind in MESSAGE_TYPES:  # a later version may send others
+        if kind in MESSAGE_TYPES:  # a later release may send further types
             holder = None if owner == NO_OWNER else owner
             ballot = Ballot(ballot_round, node_id)
             messages.append(Message(MessageType(kind), lease_id, ballot, token, duration, holder))
--- a/violetstack/lease/node.py
+++ b/violetstack/lease/node.py
@@ -1,7 +1,7 @@
 """One dispatcher's part in all leases: its acceptor, if it has one, and a proposer for each lease it wants.
 
-The node turns received datagrams and the passing of time into datagrams to send. `LeaseNode.tick` has to be
-called at `next_tick_at` and after each received datagram.
+The node turns received datagrams and the passage of time into datagrams to send. The caller has to call
+`LeaseNode.tick` at `next_tick_at` and after each received datagram.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from violetstack.lease.retry_schedule import ATTEMPT_TIMEOUT_MS, RetrySchedule
 
 FENCE_QUERY_INTERVAL_MS = 500.0
-DISCARD_INTERVAL_MS = 1_000.0  # how often the acceptor drops expired state
-COOLDOWN_LEASE_DURATIONS = 2.0  # how many lease durations a node that resigned leaves the lease to others
+DISCARD_INTERVAL_MS = 1_000.0  # between two calls of `Acceptor.discard_expired`
+COOLDOWN_LEASE_DURATIONS = 2.0  # for so many lease durations a node does not campaign for a lease it resigned
 MIN_TIMER_DELAY_MS = 1.0
 PREFERENCE_HASH_BYTES = 8
 DATAGRAMS_PER_S = 200.0
@@ -48,12 +48,12 @@
 
     Attributes:
         number: This dispatcher's number in its tier.
-        fleet_size: How many dispatchers the tier has.
-        incarnation: Tells this process from earlier and later ones of the same number.
-        duration_ms: How long a lease is.
-        keys: Secrets. What is sent is authenticated by the first; what is received may be by any.
-        datagrams_per_s: How many datagrams are sent at most.
-        restarted: Whether an earlier process of this number may have granted leases.
+        fleet_size: The number of dispatchers in the tier.
+        incarnation: Distinguishes this process from earlier and later ones of the same dispatcher number.
+        duration_ms: The duration of a lease.
+        keys: Secret keys. Sent datagrams are authenticated by the first key, received ones by any of them.
+        datagrams_per_s: The highest rate of sent datagrams.
+        restarted: Whether an earlier process of this dispatcher number may have granted leases.
     """
 
     number: int
@@ -73,8 +73,8 @@
         node_id: The id of this process, see `messages.node_id_of`.
         eligible: Whether this node may acquire leases.
         acceptors: The numbers of the dispatchers that are acceptors.
-        acceptor: This dispatcher's acceptor, if it has one.
-        outbox: What waits to be sent.
+        acceptor: This dispatcher's acceptor; None if it is not one of the acceptors.
+        outbox: The messages that wait to be sent.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         rng: random.Random,
         observer: LeaseObserver | None = None,
     ) -> None:
-        """Start a node; `rng` is the random source of all delays."""
+        """Creates a node; `rng` is the random source of all delays."""
         self.settings = settings
         self.node_id = node_id_of(settings.number, settings.incarnation)
         self.eligible = True
@@ -110,16 +110,16 @@
 
     @property
     def duration_ms(self) -> float:
-        """How long a lease is."""
+        """The duration of a lease."""
         return self.settings.duration_ms
 
     # --- leases by name ---
 
     def campaign(self, name: str, *, unconditional: bool = False) -> Proposer:
-        """Try to acquire the lease from now on, and return its proposer.
+        """Starts a campaign for the lease, unless there is one already, and returns its proposer.
 
-        An `unconditional` campaign goes on while the node is not eligible, and ignores the lease's preference
-        order: it is for leases that each dispatcher wants for itself.
+        An `unconditional` campaign continues while the node is not eligible, and ignores the lease's
+        preference order. It is meant for leases that each dispatcher needs for itself.
         """
         lease_id = lease_id_of(name)
         candidacy = self._candidacies.get(lease_id)
@@ -135,7 +135,7 @@
         return proposer
 
     def withdraw(self, now: float, name: str) -> None:
-        """End the campaign, and release the lease if it is held."""
+        """Ends the campaign, and releases the lease if it is held."""
         candidacy = self._candidacies.get(lease_id_of(name))
         if candidacy is None:
             return
@@ -144,10 +144,12 @@
         del self._candidacies[candidacy.proposer.lease_id]
 
     def resign(self, now: float, name: str, successor: int | None = None) -> bool:
-        """Release the lease, or transfer it to the node id `successor`, and leave it to others for a while.
+        """Releases the lease, or transfers it to the node id `successor`, and pauses the campaign.
+
+        The pause is COOLDOWN_LEASE_DURATIONS long, so that another dispatcher acquires the lease.
 
         Returns:
-            False if the lease is not held here.
+            False if this node does not hold the lease.
         """
         candidacy = self._candidacies.get(lease_id_of(name))
         if candidacy is None or not candidacy.proposer.holds(now):
@@ -159,7 +161,7 @@
         return True
 
     def shut_down(self, now: float, keep: frozenset[str] = frozenset()) -> None:
-        """Release all leases but the named ones, and acquire none any more."""
+        """Releases all leases except those named in `keep`, and stops acquiring leases."""
         self.eligible = False
         for candidacy in list(self._candidacies.values()):
             if candidacy.name not in keep:
@@ -167,9 +169,10 @@
                 self._report_changes(now, candidacy)
 
     def set_eligible(self, now: float, eligible: bool) -> None:
-        """Set whether this node may acquire leases; it does nothing if that has not changed.
+        """Sets whether this node may acquire leases; does nothing if that has not changed.
 
-        The node goes on renewing what it holds in any case: a change of holder costs more than a slow one.
+        The node continues to renew the leases that it holds in any case: a change of holder costs more than
+        a slow holder.
         """
         if eligible != self.eligible:
             self.eligible = eligible
@@ -177,15 +180,15 @@
                 heapq.heappush(self._timers, (now, lease_id))
 
     def holds(self, now: float, name: str) -> bool:
-        """Return whether this node holds the lease. Ask right before each action under the lease."""
+        """Returns whether this node holds the lease; to be checked right before each action under it."""
         candidacy = self._candidacies.get(lease_id_of(name))
         return candidacy is not None and candidacy.proposer.holds(now)
 
     def broadcast(self, now: float, name: str, value: int) -> bool:
-        """Announce a value to all dispatchers under the lease's fencing token.
+        """Announces a value to all dispatchers under the lease's fencing token.
 
         Returns:
-            False if the lease is not held here; nothing is sent then.
+            False if this node does not hold the lease; nothing is sent then.
         """
         candidacy = self._candidacies.get(lease_id_of(name))
         if candidacy is None or not candidacy.proposer.holds(now):
@@ -199,24 +202,27 @@
         return True
 
     def on_newer_token(self, now: float, name: str, token: int) -> None:
-        """Release the lease, because an action under it was rejected for a newer fencing token."""
+        """Releases the lease because an action under it was rejected in favour of a newer fencing token."""
         candidacy = self._candidacies.get(lease_id_of(name))
         if candidacy is not None:
             self._release_outdated(now, candidacy, token)
 
     def views(self, now: float) -> list[LeaseView]:
-        """Describe each lease that this node wants, by name."""
+        """Returns the views of all leases that this node campaigns for, sorted by name."""
         rows = sorted(self._candidacies.values(), key=lambda candidacy: candidacy.name)
         return [candidacy.view(now, self.number) for candidacy in rows]
 
     def preference_order(self, name: str) -> list[int]:
-        """Return all dispatcher numbers in the lease's own order, which spreads many leases evenly."""
+        """Returns all dispatcher numbers, ordered by a hash of the lease's name and the number.
+
+        Since the order differs from lease to lease, many leases are spread evenly over the dispatchers.
+        """
         return sorted(range(self.settings.fleet_size), key=partial(_preference_hash, name))
 
     # --- timers ---
 
     def tick(self, now: float) -> list[tuple[int, bytes]]:
-        """Return the datagrams to send now, each with its receiver's number, or ALL_PEERS."""
+        """Returns the datagrams to send now, each with its receiver's dispatcher number or ALL_PEERS."""
         if self.acceptor is not None:
             self._tick_acceptor(now, self.acceptor)
         self._tick_proposers(now)
@@ -225,7 +231,7 @@
         return self.outbox.flush(now, self._highest_token())
 
     def next_tick_at(self, now: float) -> float:
-        """Return when to call `tick` next."""
+        """Returns when to call `tick` next."""
         proposers_at = self._timers[0][0] if self._timers else inf
         acceptor_at = inf
         if self.acceptor is not None:
@@ -253,7 +259,7 @@
             self._update_eligibility(now, candidacy)
             proposer = candidacy.proposer
             if not proposer.holds(now) and self.outbox.is_congested(now):
-                # Renewals go first, so that no more leases are acquired than can be kept.
+                # Renewals take precedence, so that no more leases are acquired than can be renewed.
                 postponed.append((now + ATTEMPT_TIMEOUT_MS * (0.5 + self._rng.random()), lease_id))
                 continue
             if proposer.next_tick_at() <= now:
@@ -277,10 +283,10 @@
     # --- messages ---
 
     def receive(self, now: float, sender: int, data: bytes) -> None:
-        """Take a datagram of dispatcher `sender`.
+        """Handles a datagram of dispatcher `sender`.
 
         Raises:
-            InvalidDatagramError: It can't be decoded or authenticated, and was ignored.
+            InvalidDatagramError: The datagram cannot be decoded or authenticated; it was ignored.
         """
         datagram = decode(data, sender, self.settings.keys)
         if self.acceptor is not None:
@@ -309,7 +315,7 @@
 
     def _handle_as_acceptor(self, now: float, sender: int, message: Message) -> None:
         if self.acceptor is None or dispatcher_number_of(message.ballot.node_id) != sender:
-            return  # no dispatcher may ask in another's name
+            return  # a dispatcher may not send requests in the name of another one
         for answer in self.acceptor.handle(now, message):
             self._send(now, sender, answer)
 
@@ -353,8 +359,8 @@
             if message.type is MessageType.TRANSFER and message.owner is not None:
                 self.outbox.put(dispatcher_number_of(message.owner), message)
                 continue
-            # All dispatchers learn of a release, so that the next holder need not wait for the lease to
-            # expire.
+            # A release goes to all dispatchers, so that the next holder does not have to wait for the lease
+            # to expire.
             receivers_of_release = (ALL_PEERS, self.number)
             for receiver in receivers_of_release if message.type is MessageType.RELEASE else self.acceptors:
                 self._send(now, receiver, message)
--- a/violetstack/lease/observer.py
+++ b/violetstack/lease/observer.py
@@ -1,4 +1,4 @@
-"""What a lease node reports to the program that runs it."""
+"""The interface through which a lease node reports events to its caller."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class Broadcast(NamedTuple):
-    """What the holder of a lease announced under its fencing token; the meaning of `value` is the lease's."""
+    """An announcement by the holder of a lease, under its fencing token.
+
+    The meaning of `value` depends on the lease.
+    """
 
     lease_id: int
     sender: int
@@ -17,26 +20,26 @@
 
 
 class LeaseObserver(Protocol):
-    """What a node reports."""
+    """Callbacks for the events of a node."""
 
     def lease_changed(self, name: str, change: HolderChange) -> None:
-        """This node acquired or lost a lease."""
+        """Called when this node has acquired or lost a lease."""
 
     def broadcast_received(self, now: float, broadcast: Broadcast) -> None:
-        """The holder of a lease announced something."""
+        """Called for a valid broadcast of a lease holder."""
 
     def broadcast_rejected(self, sender: int, fencing_token: int, newest_token: int) -> None:
-        """A broadcast was outdated, or was sent in another dispatcher's name."""
+        """Called for a broadcast with an outdated token, or sent in the name of another dispatcher."""
 
 
 class NullObserver:
-    """A LeaseObserver that does nothing."""
+    """A LeaseObserver that ignores all events."""
 
     def lease_changed(self, name: str, change: HolderChange) -> None:
-        """Do nothing."""
+        """Does nothing."""
 
     def broadcast_received(self, now: float, broadcast: Broadcast) -> None:
-        """Do nothing."""
+        """Does nothing."""
 
     def broadcast_rejected(self, sender: int, fencing_token: int, newest_token: int) -> None:
-        """Do nothing."""
+        """Does nothing."""
--- a/violetstack/lease/outbox.py
+++ b/violetstack/lease/outbox.py
@@ -1,4 +1,4 @@
-"""Messages that wait to be sent, gathered into datagrams whose rate is bounded."""
+"""A send queue that batches messages into datagrams and limits the rate of datagrams."""
 
 from __future__ import annotations
 
@@ -8,23 +8,30 @@
 from violetstack.shared.rate_limit import TokenBucket
 
 ALL_PEERS = -1  # as a receiver: every other dispatcher of the tier
-BATCHING_DELAY_MS = 10.0  # messages wait for others to the same receiver
-NEW_LEASE_CAPACITY_DIVISOR = 3.0  # new leases use a third of the capacity; renewals and answers the rest
-BURST_S = 0.5  # of datagrams
+BATCHING_DELAY_MS = 10.0  # how long a message waits for others to the same receiver
+NEW_LEASE_CAPACITY_DIVISOR = 3.0  # new leases may use a third of the capacity; renewals and answers the rest
+BURST_S = 0.5  # of datagrams at the full rate
 
 
 class Outbox:
-    """The messages to each receiver. A newer message replaces one about the same lease that still waits.
+    """The queued messages to each receiver.
 
-    The rate limit therefore delays messages and never sends outdated ones.
+    A newer message replaces a queued one about the same lease, so the rate limit delays messages but no
+    outdated ones are sent.
 
     Attributes:
-        datagrams_sent: How many datagrams were handed out.
-        bytes_sent: Their size.
+        datagrams_sent: The number of datagrams returned by `flush` so far.
+        bytes_sent: Their total size.
     """
 
     def __init__(self, number: int, keys: tuple[bytes, ...], datagrams_per_s: float) -> None:
-        """Send as dispatcher `number`, authenticated by the first of `keys` if there is one."""
+        """Creates an empty queue.
+
+        Args:
+            number: The number of this dispatcher.
+            keys: If not empty, the first key authenticates the datagrams.
+            datagrams_per_s: The highest rate of datagrams.
+        """
         self.datagrams_sent = 0
         self.bytes_sent = 0
         self._number = number
@@ -36,25 +43,25 @@
         self._batching_since: float | None = None
 
     def put(self, receiver: int, message: Message) -> None:
-        """Queue a message to a dispatcher, or to EVERYONE."""
+        """Queues a message to a dispatcher, or to ALL_PEERS."""
         waiting = self._waiting.setdefault(receiver, {})
-        # The latest message about a lease is the right one, but answers to two proposers are two messages.
+        # The latest message about a lease supersedes earlier ones; answers to two proposers are both sent.
         key = (message.type, message.lease_id, message.ballot.node_id)
         waiting.pop(key, None)
         waiting[key] = message
 
     def put_broadcast(self, message: Message, valid_until: float) -> None:
-        """Queue a BROADCAST that is dropped if it has not left before the holder's lease is over."""
+        """Queues a BROADCAST, which is dropped if it was not sent before the holder's lease has expired."""
         self._broadcast_valid_until[message.lease_id] = valid_until
         self.put(ALL_PEERS, message)
 
     def is_congested(self, now: float) -> bool:
-        """Return whether new leases should wait, so that renewals and answers still get through."""
+        """Returns whether to postpone new leases, so that renewals and answers are still sent in time."""
         queued = sum(map(len, self._waiting.values()))
         return queued > self._bucket.available(now) * MAX_MESSAGES / NEW_LEASE_CAPACITY_DIVISOR
 
     def is_ready(self, now: float) -> bool:
-        """Return whether to flush now: messages have gathered for long enough, or fill a datagram."""
+        """Returns whether to flush now: BATCHING_DELAY_MS have passed, or a datagram is full."""
         if not self._waiting:
             return False
         if self._batching_since is None:
@@ -63,16 +70,16 @@
         return batch_due or any(len(queue) >= MAX_MESSAGES for queue in self._waiting.values())
 
     def next_flush_at(self, now: float) -> float:
-        """Return when to flush next; infinity if nothing waits."""
+        """Returns when to flush next; infinity if no message is queued."""
         if not self._waiting:
             return inf
         batch_due_at = now if self._batching_since is None else self._batching_since + BATCHING_DELAY_MS
         return max(batch_due_at, self._bucket.next_token_at(now))
 
     def flush(self, now: float, highest_token: int) -> list[tuple[int, bytes]]:
-        """Return the datagrams that may be sent now, each with its receiver.
+        """Returns the datagrams that the rate limit allows now, each with its receiver.
 
-        The receiver that has waited longest goes first, so that the rate limit starves none.
+        The receiver whose messages have waited longest is served first, so that none is starved.
         """
         datagrams = []
         while self._waiting and self._bucket.try_take(now):
@@ -91,7 +98,7 @@
         return datagrams
 
     def _is_valid(self, now: float, message: Message) -> bool:
-        """Check a broadcast's lease once more: the process may have been paused since it was queued."""
+        """Returns False for a broadcast whose lease has expired, as after a pause of the process."""
         if message.type is not MessageType.BROADCAST:
             return True
         return now < self._broadcast_valid_until.pop(message.lease_id, 0.0)
--- a/violetstack/lease/outlier_checks.py
+++ b/violetstack/lease/outlier_checks.py
@@ -1,10 +1,11 @@
-"""Checks of failing hosts by one dispatcher at a time, whose result counts for the whole tier.
-
-A dispatcher whose policy has evidence against a host (failures in a row, its own or gossiped) campaigns for
-the host's lease. The holder goes on sending requests to the host and broadcasts that it does; while such a
-broadcast is recent, the other dispatchers with evidence of their own avoid the host. The first success ends
-the check for all. A holder without any attempt for a while resigns, so that another dispatcher checks. A
-dispatcher that receives no broadcast acts as it does without leases.
+"""Checks of failing hosts by one dispatcher at a time; the result counts for the whole tier.
+
+A dispatcher whose policy has evidence against a host (consecutive failures, its own or gossiped ones)
+campaigns for the host's lease. The holder continues to send requests to the host and broadcasts that it is
+checking it. While such a broadcast is recent, the other dispatchers that have evidence of their own avoid the
+host. The first success ends the check for all of them. A holder that has made no attempt at the host for some
+time resigns, so that another dispatcher checks it. A dispatcher that receives no broadcast acts as it does
+without leases.
 """
 
 from __future__ import annotations
@@ -19,36 +20,36 @@
 
 LEASE_NAME_PREFIX = "try:"  # hashed into the lease id on the wire, and shown to operators
 ANNOUNCEMENT_INTERVAL_SHARE = 1 / 3  # of the lease duration: two announcements may be lost
-MAX_IDLE_CHECK_MS = 9_000.0  # without an attempt: three times as long as a failure's penalty lasts
+MAX_IDLE_CHECK_MS = 9_000.0  # without an attempt at the host: three times the duration of a failure's penalty
 CHECKING = 0  # broadcast values
 SUCCEEDED = 1
 
 
 class OutlierCheckListener(Protocol):
-    """What the checks report."""
+    """Callbacks for the events of the checks."""
 
     def outlier_check_result(self, result: OutlierCheckResult) -> None:
-        """The policy is to know this."""
+        """Called with each result that the policy has to take into account."""
 
     def outlier_check_started(self, host: str) -> None:
-        """This dispatcher checks the host from now on."""
+        """Called when this dispatcher starts to check the host."""
 
     def outlier_check_passed(self, host: str) -> None:
-        """The host answered this dispatcher's request."""
+        """Called when the host has answered a request of this dispatcher, which ends the check."""
 
 
 class Suspect:
-    """A host that the policy has evidence against."""
+    """A host against which the policy has evidence."""
 
     def __init__(self, now: float) -> None:
-        """Start without holding the host's lease."""
+        """Creates a suspect whose lease is not held here."""
         self.last_attempt_at = now
         self.next_announcement_at = now
         self.checked_here = False
 
 
 class OutlierChecks:
-    """The checks in which one dispatcher takes part. Times are monotonic milliseconds.
+    """The part of one dispatcher in the checks. Times are monotonic milliseconds.
 
     Attributes:
         suspects: The hosts against which this dispatcher's policy has evidence.
@@ -57,7 +58,13 @@
     def __init__(
         self, node: LeaseNode, is_suspect: Callable[[str], bool], listener: OutlierCheckListener
     ) -> None:
-        """Start without suspects; `is_suspect` asks the policy whether it has evidence against a host."""
+        """Starts without suspects.
+
+        Args:
+            node: The lease node of this dispatcher.
+            is_suspect: Returns whether the policy has evidence against a host.
+            listener: Receives the events of the checks.
+        """
         self._node = node
         self._is_suspect = is_suspect
         self._listener = listener
@@ -65,14 +72,14 @@
         self.suspects: dict[str, Suspect] = {}
 
     def endpoints_listed(self, now: float, hosts: Iterable[str]) -> None:
-        """Take the complete list of hosts; suspects that are not in it are forgotten."""
+        """Handles a complete list of hosts; suspects that it lacks are dropped."""
         self._hosts = {lease_id_of(lease_name(host)): host for host in hosts}
         listed = set(self._hosts.values())
         for host in [host for host in self.suspects if host not in listed]:
             self._clear(now, host)
 
     def attempt_observed(self, now: float, host: str, succeeded: bool) -> None:
-        """Take the outcome of one of this dispatcher's attempts at a host."""
+        """Handles the outcome of one of this dispatcher's attempts at a host."""
         suspect = self.suspects.get(host)
         if suspect is None:
             return
@@ -83,7 +90,7 @@
             self._clear(now, host)
 
     def broadcast_received(self, now: float, broadcast: Broadcast) -> None:
-        """Take a broadcast under any lease; those of other leases are ignored."""
+        """Handles a broadcast under any lease; only those under the lease of a listed host have an effect."""
         host = self._hosts.get(broadcast.lease_id)
         if host is None:
             return
@@ -94,10 +101,10 @@
             self._listener.outlier_check_result(OutlierCheckResult(host, self._node.duration_ms, False))
 
     def tick(self, now: float) -> float:
-        """Look for new suspects, and announce the checks of this dispatcher.
+        """Looks for new suspects and announces the checks of this dispatcher.
 
         Returns:
-            When to call this next.
+            When to call `tick` next.
         """
         for host in self._hosts.values():
             if host not in self.suspects and self._is_suspect(host):
@@ -134,5 +141,5 @@
 
 
 def lease_name(host: str) -> str:
-    """Return the name of the lease under which a host is checked."""
+    """Returns the name of the lease under which a host is checked."""
     return f"{LEASE_NAME_PREFIX}{host}"
--- a/violetstack/lease/proposer.py
+++ b/violetstack/lease/proposer.py
@@ -1,8 +1,9 @@
-"""The proposer of PaxosLease: acquires one lease for one dispatcher, renews it and transfers it.
+"""The PaxosLease proposer: acquires one lease for one dispatcher, renews it and transfers it.
 
-The holder's time runs from when it sent its proposal, an acceptor's from when it received it and with the
-drift margin on top. A lease that the holder still counts as its own is therefore still counted by a
-majority of the acceptors, whichever messages were lost, late or duplicated.
+The holder counts the lease duration from the time at which it sent the proposal. An acceptor counts it from
+the time at which it received the proposal, and adds the drift margin. As long as the holder considers the
+lease its own, a majority of the acceptors therefore does so too, whichever messages were lost, delayed or
+duplicated.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class Phase(Enum):
-    """How far a ballot round has come."""
+    """The phase of a ballot round."""
 
     IDLE = "idle"
     PREPARING = "preparing"
@@ -26,7 +27,7 @@
 
 
 class HolderChange(NamedTuple):
-    """This node acquired the lease (`held`) or lost it."""
+    """A change of holder: this node acquired the lease (`held` is true) or lost it."""
 
     lease_id: int
     held: bool
@@ -35,16 +36,16 @@
 
 
 class BallotRound(msgspec.Struct):
-    """One attempt to acquire, renew or transfer the lease, or what is left of the last one.
+    """One attempt to acquire, renew or transfer the lease; its phase is IDLE once it has ended.
 
     Attributes:
-        ballot: Its ballot.
-        request: The message of the phase, to be sent again to acceptors that may lack it.
-        phase: How far it has come.
-        sent_at: When the first message of the phase was sent; a lease's time runs from there.
+        ballot: The ballot of the attempt.
+        request: The request of the current phase, which is resent to acceptors that may not have received it.
+        phase: The current phase.
+        sent_at: When the request of the phase was first sent; the lease duration counts from then.
         answered_by: The acceptors that have agreed in this phase.
         held_at_start: Whether this node held the lease when the round began.
-        fencing_token: The proposed token.
+        fencing_token: The proposed fencing token.
     """
 
     ballot: Ballot
@@ -57,7 +58,7 @@
 
 
 class ObservedHolder(NamedTuple):
-    """Who else held the lease when acceptors were last asked, and until when at most.
+    """The other node that held the lease when acceptors were last asked, and the latest end of its lease.
 
     `node_id` is None if there was no other holder, or if its lease is known to have ended.
     """
@@ -69,29 +70,29 @@
 class Proposer:
     """One dispatcher's part in one lease. Times are this process's monotonic milliseconds.
 
-    Each method that may have something to send returns the messages, which go to all acceptors; a TRANSFER
-    goes to its owner instead, and a RELEASE to every dispatcher.
+    Methods that return messages return those to be sent: a TRANSFER goes to its owner, a RELEASE to every
+    dispatcher, and all others go to all acceptors.
 
     Attributes:
-        lease_id: Which lease.
+        lease_id: The id of the lease.
         node_id: The id of this process, see `messages.node_id_of`.
-        duration_ms: How long a lease is.
+        duration_ms: The duration of the lease.
         quorum: How many acceptors have to agree.
-        eligible: Whether this node may acquire the lease; what it holds, it renews in any case until it
-            resigns.
-        expires_at: Until when this node holds the lease; 0 if it does not.
-        fencing_token: The token of the lease that is or was held last.
+        eligible: Whether this node may acquire the lease. It renews a lease that it holds in any case, until
+            it resigns.
+        expires_at: When the lease expires that this node holds; 0 if it does not hold the lease.
+        fencing_token: The fencing token under which this node holds the lease or last held it.
         highest_token: The highest fencing token seen.
         round: The current ballot round.
         next_attempt_at: When to act next; None before the first call of `tick`.
-        observed_holder: Who else holds the lease, as far as known.
-        changes: What was acquired and lost, for the caller to take out.
+        observed_holder: The other node that holds the lease, as far as known.
+        changes: Acquisitions and losses of the lease; the caller clears the list after reading it.
     """
 
     def __init__(
         self, lease_id: int, node_id: int, quorum: int, duration_ms: float, schedule: RetrySchedule
     ) -> None:
-        """Start without the lease."""
+        """Creates a proposer that does not hold the lease."""
         self.lease_id = lease_id
         self.node_id = node_id
         self.duration_ms = duration_ms
@@ -111,19 +112,19 @@
     # --- the holder's side ---
 
     def holds(self, now: float) -> bool:
-        """Return whether this node holds the lease. Ask right before each action under the lease."""
+        """Returns whether this node holds the lease; to be checked right before each action under it."""
         return now < self.expires_at
 
     def remaining_ms(self, now: float) -> float:
-        """Return how long this node still holds the lease."""
+        """Returns how long this node still holds the lease, 0 if it does not."""
         return max(0.0, self.expires_at - now)
 
     def resign(self, now: float, successor: int | None = None) -> list[Message]:
-        """Give the lease up, or transfer it to the node id `successor` by one more proposal.
+        """Gives up the lease, or transfers it to the node id `successor` by one more proposal.
 
-        This node stops holding the lease before that proposal is sent, though the proposal may fail: the
-        successor can learn of it first. The lease is then without a holder for about two round trips, and
-        never has two.
+        This node stops holding the lease before it sends that proposal, although the proposal may fail: the
+        successor may learn that it was accepted before this node does. The lease is thus without a holder for
+        about two round trips, but never has two.
         """
         self.eligible = False
         if not self.holds(now):
@@ -137,9 +138,9 @@
         return [self._release_message()]
 
     def on_newer_token(self, now: float, token: int) -> list[Message]:
-        """Release the lease because another dispatcher has seen a newer fencing token.
+        """Releases the lease because another dispatcher has seen a newer fencing token.
 
-        That can happen only after all acceptors have lost their state together.
+        That can happen only after all acceptors have lost their state at the same time.
         """
         self.highest_token = max(self.highest_token, token)
         if not self.holds(now):
@@ -154,7 +155,7 @@
     # --- timers ---
 
     def tick(self, now: float) -> list[Message]:
-        """Start, repeat or give up an attempt. Call at `next_tick_at`, and after each message."""
+        """Starts, repeats or abandons an attempt; to be called at `next_tick_at` and after each message."""
         if self.expires_at and now >= self.expires_at:
             self._record_loss(now, "not renewed in time")
         if self.next_attempt_at is None:
@@ -170,7 +171,7 @@
         return []
 
     def next_tick_at(self) -> float:
-        """Return when to call `tick` next; infinity if there is nothing to do before a message arrives."""
+        """Returns when to call `tick` next; infinity if there is nothing to do before a message arrives."""
         attempt_at = inf
         if self._has_reason_to_propose():
             attempt_at = 0.0 if self.next_attempt_at is None else self.next_attempt_at
@@ -189,7 +190,7 @@
     # --- messages ---
 
     def handle(self, now: float, acceptor: int, message: Message) -> list[Message]:
-        """Take an acceptor's answer."""
+        """Handles an acceptor's answer."""
         self.highest_token = max(self.highest_token, message.fencing_token)
         active = self.round.phase is not Phase.IDLE
         current = message.ballot == self.round.ballot
@@ -203,9 +204,10 @@
         return []
 
     def on_transfer(self, now: float, message: Message) -> None:
-        """Take a holder's notice that it has transferred the lease to this node.
+        """Handles a holder's notice that it has transferred the lease to this node.
 
-        The notice may be old, so it proves nothing; this node starts an attempt at once.
+        The notice may be outdated and does not prove that this node holds the lease, so the node starts an
+        attempt at once.
         """
         if message.owner == self.node_id and not self.holds(now):
             self.round.ballot = Ballot(max(message.ballot.round, self.round.ballot.round), self.node_id)
@@ -214,7 +216,7 @@
             self.next_attempt_at = now
 
     def on_release(self, now: float, owner: int) -> None:
-        """Take a holder's notice that it has released the lease."""
+        """Handles a holder's notice that it has released the lease."""
         known = owner == self.observed_holder.node_id
         if known and self.round.phase is Phase.IDLE and not self.holds(now):
             self.observed_holder = self.observed_holder._replace(node_id=None)
@@ -295,7 +297,7 @@
         self.next_attempt_at = now + self._schedule.backoff_ms()
 
     def abandon_round(self, now: float) -> None:
-        """Give the current attempt up, and plan the next one."""
+        """Abandons the current attempt and schedules the next one."""
         self.round.phase = Phase.IDLE
         self._schedule.record_failure()
         if self.holds(now):
@@ -305,7 +307,10 @@
         self.next_attempt_at = now + self._schedule.after_failure_ms()
 
     def _wait_for_expiry(self, now: float, holder: int, remaining_ms: float) -> None:
-        """Wait for another holder's lease to end; backing off further would only delay the next one."""
+        """Schedules the next attempt after another holder's lease has expired.
+
+        It resets the backoff, which would only delay that attempt.
+        """
         self.observed_holder = ObservedHolder(holder, now + remaining_ms)
         self.next_attempt_at = self.observed_holder.expires_at + self._schedule.after_expiry_ms()
         self.round.phase = Phase.IDLE
--- a/violetstack/lease/quorum.py
+++ b/violetstack/lease/quorum.py
@@ -1,4 +1,4 @@
-"""Which dispatchers are acceptors, and how many of them are a majority."""
+"""The choice of acceptors among the dispatchers, and the size of a majority."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def acceptor_numbers(fleet_size: int) -> tuple[int, ...]:
-    """Return the numbers of the dispatchers that are acceptors, spread evenly over the fleet.
+    """Returns the numbers of the dispatchers that are acceptors, spread evenly over the fleet.
 
-    All of a fleet of up to four are acceptors, five of a larger one, and seven of fifty and more.
+    In a fleet of up to 4 dispatchers all are acceptors, from 5 to 49 dispatchers 5 are, and from 50 on 7 are.
     """
     if fleet_size <= MAX_FLEET_OF_ACCEPTORS:
         count = fleet_size
@@ -23,5 +23,5 @@
 
 
 def majority(acceptors: int) -> int:
-    """Return the smallest number of acceptors that is more than half of them."""
+    """Returns the smallest number of acceptors that is more than half of them."""
     return acceptors // 2 + 1
