--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -18,7 +18,7 @@
 from tests.router_harness import make_endpoint
 from violetstack.net.upstream import connection_pool
 from violetstack.net.upstream.connection import LocalFaultError, NotConnectedError, UpstreamConnection
-from violetstack.net.upstream.connection_pool import LOCAL_RETRY_S, ConnectionPool, UpstreamHost
+from violetstack.net.upstream.connection_pool import LOCAL_FAULT_RETRY_S, ConnectionPool, UpstreamHost
 from violetstack.policy_api import EndpointUpdate, UpdateScope
 
 IDLE_CLOSE_MS = 1000.0
@@ -177,7 +177,7 @@
         began = trio.current_time()
         with pytest.raises(LocalFaultError):
             await harness.pool.acquire("other", lambda: True)
-        assert trio.current_time() - began >= harness.pool.connect_timeout_s - 2 * LOCAL_RETRY_S
+        assert trio.current_time() - began >= harness.pool.connect_timeout_s - 2 * LOCAL_FAULT_RETRY_S
         kept = await harness.take()
         assert kept is not None
         assert kept.from_pool
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -349,7 +349,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One after the other, at 0.3 s each, three unreachable hosts took longer than the state retention."""
-    monkeypatch.setattr(state_release, "TRY_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(state_release, "HOST_TIMEOUT_S", 60.0)
     reader, writer = pair(DECLINE, DECLINE, DECLINE, DECLINE, DECLINE)
     more = [ModelHost(f"r{n}", "prefill") for n in range(2, 6)]
     gate = trio.Event()
--- a/tests/test_response_reader.py
+++ b/tests/test_response_reader.py
@@ -42,8 +42,8 @@
             self.connection,
             report_fields=(),
             openai_api=False,
-            migration=lambda: None,
-            waiting=lambda scope: None,
+            current_migration=lambda: None,
+            set_receive_scope=lambda scope: None,
         )
         self.status: AttemptStatus | None = None
 
--- a/violetstack/net/upstream/attempts.py
+++ b/violetstack/net/upstream/attempts.py
@@ -36,12 +36,12 @@
 """
 
 
-class _Running:
+class _RunningAttempt:
     """What belongs to one attempt while it runs."""
 
     def __init__(self) -> None:
         self.scope = trio.CancelScope()
-        self.request_sent = trio.Event()
+        self.request_sent_or_ended = trio.Event()
         """Set once the request is written, or the attempt has ended."""
         self.receive_scope: trio.CancelScope | None = None
         self.connection: UpstreamConnection | None = None
@@ -64,7 +64,7 @@
         self._releases = releases
         self._report_fields = report_fields
         self._migrate_stream: MigrateStream | None = None
-        self._running: dict[Attempt, _Running] = {}
+        self._running: dict[Attempt, _RunningAttempt] = {}
 
     def __len__(self) -> int:
         return len(self._running)
@@ -72,10 +72,10 @@
     def start(self, attempt: Attempt) -> None:
         """Connects, writes the request and reads the response; the core hears of each step."""
 
-        async def exchange(running: _Running) -> AttemptResult:
+        async def exchange(running: _RunningAttempt) -> AttemptResult:
             return await self._exchange(attempt, running)
 
-        self._spawn(attempt, exchange)
+        self._start_task(attempt, exchange)
 
     def adopt(
         self, attempt: Attempt, raw: socket.socket, cached_tokens: int, wait_writable: WaitWritable
@@ -85,11 +85,11 @@
         connection.http = HttpClientConnection.resumed()
         attempt.request.payload = Payload("POST", "", "", memoryview(b""), wait_writable)
 
-        async def read_on(running: _Running) -> AttemptResult:
+        async def resume_reading(running: _RunningAttempt) -> AttemptResult:
             reader = self._reader(attempt, running, connection, openai_api=False)
             return await self._read_response(running, connection, lambda: reader.resume(cached_tokens))
 
-        self._spawn(attempt, read_on)
+        self._start_task(attempt, resume_reading)
 
     def migrate_streams(self, migrate_stream: MigrateStream) -> None:
         """From now on each stream passes to another process, at once or after its next event."""
@@ -120,10 +120,10 @@
         connection = self.connection_of(attempt)
         return connection is None or not connection.unacknowledged_bytes()
 
-    def request_sent(self, attempt: Attempt) -> Callable[[], Awaitable[None]] | None:
+    def request_sent_waiter(self, attempt: Attempt) -> Callable[[], Awaitable[None]] | None:
         """Waits until the attempt's request is written, or it has ended; None if it has already."""
         running = self._running.get(attempt)
-        return running.request_sent.wait if running is not None else None
+        return running.request_sent_or_ended.wait if running is not None else None
 
     def connection_of(self, attempt: Attempt) -> UpstreamConnection | None:
         """The connection that the attempt uses now."""
@@ -137,18 +137,23 @@
 
     # --- the task of an attempt ---
 
-    def _spawn(self, attempt: Attempt, exchange: Callable[[_Running], Awaitable[AttemptResult]]) -> None:
-        running = self._running[attempt] = _Running()
+    def _start_task(
+        self, attempt: Attempt, exchange: Callable[[_RunningAttempt], Awaitable[AttemptResult]]
+    ) -> None:
+        running = self._running[attempt] = _RunningAttempt()
         self._nursery.start_soon(self._run, attempt, running, exchange)
 
     async def _run(
-        self, attempt: Attempt, running: _Running, exchange: Callable[[_Running], Awaitable[AttemptResult]]
+        self,
+        attempt: Attempt,
+        running: _RunningAttempt,
+        exchange: Callable[[_RunningAttempt], Awaitable[AttemptResult]],
     ) -> None:
         result: AttemptResult | None = None
         with running.scope:
-            result = await self._guard(attempt, running, exchange)
+            result = await self._handle_errors(attempt, running, exchange)
         del self._running[attempt]
-        running.request_sent.set()
+        running.request_sent_or_ended.set()
         if result is not None:
             self._report(attempt, result)
 
@@ -159,8 +164,11 @@
         except Exception as error:
             log("attempt_failed", id=attempt.request.id, error=repr(error))
 
-    async def _guard(
-        self, attempt: Attempt, running: _Running, exchange: Callable[[_Running], Awaitable[AttemptResult]]
+    async def _handle_errors(
+        self,
+        attempt: Attempt,
+        running: _RunningAttempt,
+        exchange: Callable[[_RunningAttempt], Awaitable[AttemptResult]],
     ) -> AttemptResult:
         """The exchange's result, whatever it raises: no attempt's failure may end the program."""
         try:
@@ -184,13 +192,13 @@
             pass
         except Exception as error:
             log("attempt_failed", id=attempt.request.id, error=repr(error))
-        written = attempt.request_written
-        return AttemptResult(AttemptStatus.RESET if written else AttemptStatus.CONNECT_FAILED)
+        on_written = attempt.request_written
+        return AttemptResult(AttemptStatus.RESET if on_written else AttemptStatus.CONNECT_FAILED)
 
-    async def _exchange(self, attempt: Attempt, running: _Running) -> AttemptResult:
+    async def _exchange(self, attempt: Attempt, running: _RunningAttempt) -> AttemptResult:
         connection = await self._pool.acquire(
             attempt.server,
-            wanted=lambda: self._core.may_send(now_ms(), attempt),
+            still_wanted=lambda: self._core.may_send(now_ms(), attempt),
             prerequisite=lambda: self._releases.wait_for(attempt.request),
             timeout_s=self._core.connect_timeout_ms(now_ms(), attempt) / 1000.0,
         )
@@ -207,24 +215,24 @@
         return await self._read_response(running, connection, send_and_read)
 
     async def _send(
-        self, attempt: Attempt, running: _Running, connection: UpstreamConnection, host: UpstreamHost
+        self, attempt: Attempt, running: _RunningAttempt, connection: UpstreamConnection, host: UpstreamHost
     ) -> None:
         payload: Payload = attempt.request.payload
         headers = _headers(attempt, payload, host)
         parts = connection.http.request(payload.method, payload.target, headers, payload.body)
 
-        def written() -> None:
+        def on_written() -> None:
             self._core.request_written(now_ms(), attempt)
-            running.request_sent.set()
+            running.request_sent_or_ended.set()
 
-        def allowed() -> bool:
+        def may_continue() -> bool:
             return self._core.may_continue_sending(now_ms(), attempt)
 
-        await connection.write(parts, written, allowed, SEND_TIMEOUT_S)
+        await connection.write(parts, on_written, may_continue, SEND_TIMEOUT_S)
 
     async def _read_response(
         self,
-        running: _Running,
+        running: _RunningAttempt,
         connection: UpstreamConnection,
         read: Callable[[], Awaitable[AttemptResult]],
     ) -> AttemptResult:
@@ -243,9 +251,9 @@
                 self._pool.close(connection)
 
     def _reader(
-        self, attempt: Attempt, running: _Running, connection: UpstreamConnection, openai_api: bool
+        self, attempt: Attempt, running: _RunningAttempt, connection: UpstreamConnection, openai_api: bool
     ) -> ResponseReader:
-        def waiting(scope: trio.CancelScope) -> None:
+        def set_receive_scope(scope: trio.CancelScope) -> None:
             running.receive_scope = scope
 
         return ResponseReader(
@@ -254,16 +262,16 @@
             connection,
             report_fields=self._report_fields,
             openai_api=openai_api,
-            migration=lambda: self._migrate_stream,
-            waiting=waiting,
+            current_migration=lambda: self._migrate_stream,
+            set_receive_scope=set_receive_scope,
         )
 
 
 def _headers(attempt: Attempt, payload: Payload, host: UpstreamHost) -> Headers:
     if host.openai_api:
         name, port = host.address
-        rows = [("Host", f"{name}:{port}"), ("Content-Type", "application/json")]
-        return [*rows, ("Authorization", f"Bearer {host.api_key}")] if host.api_key else rows
+        headers = [("Host", f"{name}:{port}"), ("Content-Type", "application/json")]
+        return [*headers, ("Authorization", f"Bearer {host.api_key}")] if host.api_key else headers
     wait_ms = max(1, int(attempt.deadline - now_ms()))
     return [
         ("Host", "app.svc"),
--- a/violetstack/net/upstream/connection.py
+++ b/violetstack/net/upstream/connection.py
@@ -41,7 +41,7 @@
     """This machine lacks what a connection takes: a descriptor, memory, a port. The host is not to blame."""
 
 
-class HeldUpError(LocalFaultError):
+class ProcessDelayedError(LocalFaultError):
     """This process was held up while it wrote, and what it tells is out of date. The rest is unsent."""
 
 
@@ -73,8 +73,8 @@
     async def write(
         self,
         parts: list[bytes | memoryview],
-        written: Callable[[], None],
-        allowed: Callable[[], bool] = always_allowed,
+        on_written: Callable[[], None],
+        may_continue: Callable[[], bool] = always_allowed,
         timeout_s: float = math.inf,
     ) -> None:
         """Writes a request; `written` is called in the same step as the system call for its last byte.
@@ -88,21 +88,21 @@
         """
         deadline = trio.current_time() + timeout_s
         for n, part in enumerate(parts):
-            rest = memoryview(part)
-            while rest:
-                if not allowed():
+            unsent = memoryview(part)
+            while unsent:
+                if not may_continue():
                     raise SendWithheldError
                 if trio.current_time() >= deadline:
-                    raise HeldUpError("held up while writing")
+                    raise ProcessDelayedError("held up while writing")
                 try:
-                    rest = rest[send_some(self._raw, rest) :]
+                    unsent = unsent[send_some(self._raw, unsent) :]
                 except BlockingIOError as error:
                     if is_transient(error):
                         await trio.sleep(RETRY_S)
                     else:
                         await self._wait_writable(deadline)
             if n == len(parts) - 1:
-                written()
+                on_written()
 
     async def _wait_writable(self, deadline: float) -> None:
         with trio.move_on_at(deadline):
@@ -143,14 +143,14 @@
         """
         return self._queued_bytes(SIOCOUTQNSD)
 
-    def _queued_bytes(self, question: int) -> int:
+    def _queued_bytes(self, ioctl_request: int) -> int:
         if self.closed:
             return 0
         try:
-            answer = fcntl.ioctl(self._raw, question, bytes(struct.calcsize("i")))
+            result = fcntl.ioctl(self._raw, ioctl_request, bytes(struct.calcsize("i")))
         except OSError:
             return 0
-        return int(struct.unpack("i", answer)[0])
+        return int(struct.unpack("i", result)[0])
 
     def close(self) -> None:
         """Closes the socket at once."""
--- a/violetstack/net/upstream/connection_pool.py
+++ b/violetstack/net/upstream/connection_pool.py
@@ -20,7 +20,7 @@
 IDLE_LIFETIME_SHARE = 0.8
 """Idle connections are closed after this part of the time after which hosts close them."""
 IDLE_CHECK_INTERVAL_S = 1.0
-LOCAL_ERRORS = frozenset(
+LOCAL_FAULT_ERRNOS = frozenset(
     {
         errno.EMFILE,
         errno.ENFILE,
@@ -32,11 +32,11 @@
     }
 )
 """Of socket() and connect(): nothing has been sent, and the fault is this machine's. EAGAIN: no free port."""
-LOCAL_RETRY_S = 0.02
+LOCAL_FAULT_RETRY_S = 0.02
 """After a local fault a connection is tried again, or one that became idle is taken, at this interval."""
-RELEASE_RESERVE = 4
+RELEASE_RESERVED_CONNECTIONS = 4
 """Connections of the pool that only releases may open: attempts that nobody answers can take all others."""
-RESERVE_SHARE = 8
+RESERVED_CONNECTIONS_DIVISOR = 8
 """At most one of so many connections is kept back."""
 REUSE_DELAY_S = 0.1
 """Rest after a response: a spurious second one that comes late would be read as the next request's."""
@@ -76,14 +76,14 @@
 
     # --- addresses ---
 
-    def update(self, news: EndpointUpdate, addresses: dict[str, str]) -> None:
+    def update(self, endpoint_update: EndpointUpdate, addresses: dict[str, str]) -> None:
         """Applies an endpoint update; `addresses` has a `host:port` for each server."""
         for name, text in addresses.items():
             self._set_address(name, text)
-        for entry in news.endpoints:
+        for entry in endpoint_update.endpoints:
             self._apply_entry(entry.server, entry.state, entry.started_ms)
-        if news.scope is not UpdateScope.DELTA:
-            named = {entry.server for entry in news.endpoints}
+        if endpoint_update.scope is not UpdateScope.DELTA:
+            named = {entry.server for entry in endpoint_update.endpoints}
             for name in [name for name in self.hosts if name not in named]:
                 self._close_idle(self.hosts.pop(name))
 
@@ -132,7 +132,7 @@
             for host in self.hosts.values():
                 keep = []
                 for connection in host.idle:
-                    if self._expired(connection) or connection.has_input():
+                    if self._is_expired(connection) or connection.has_input():
                         self.close(connection)
                     else:
                         keep.append(connection)
@@ -141,7 +141,7 @@
     async def acquire(
         self,
         server: str,
-        wanted: Callable[[], bool],
+        still_wanted: Callable[[], bool],
         prerequisite: Callable[[], Awaitable[object]] | None = None,
         timeout_s: float = math.inf,
         *,
@@ -160,13 +160,13 @@
         while True:
             left_s = max(0.0, deadline - trio.current_time())
             connection = await self.open(server, left_s, for_release=for_release)
-            sound = await self._wait_until_sendable(connection, prerequisite)
-            if sound and wanted():
+            usable = await self._wait_until_sendable(connection, prerequisite)
+            if usable and still_wanted():
                 return connection
-            if sound:
+            if usable:
                 self._put_back_unused(connection)
                 return None
-            if not wanted():
+            if not still_wanted():
                 return None
             if not connection.from_pool:
                 raise NotConnectedError("it broke, or the host sent bytes before it was asked")
@@ -175,17 +175,17 @@
         self, connection: UpstreamConnection, prerequisite: Callable[[], Awaitable[object]] | None
     ) -> bool:
         """Returns whether the connection can still be used once its caller may send; closed if it cannot."""
-        sound = False
+        usable = False
         try:
             await trio.lowlevel.checkpoint_if_cancelled()
             if prerequisite is not None:
                 await prerequisite()
             await self.wait_caught_up()
-            sound = self._is_sound(connection)
+            usable = self._is_usable(connection)
         finally:
-            if not sound:
+            if not usable:
                 self.close(connection)
-        return sound
+        return usable
 
     async def open(self, server: str, timeout_s: float, *, for_release: bool = False) -> UpstreamConnection:
         """An idle connection, or a new one within `timeout_s`; raises NotConnectedError.
@@ -205,25 +205,29 @@
                 self._make_room(for_release=for_release)
                 return await self._connect(server, host.address, max(0.0, left_s))
             except LocalFaultError:
-                if left_s <= LOCAL_RETRY_S:
+                if left_s <= LOCAL_FAULT_RETRY_S:
                     raise
-            await trio.sleep(LOCAL_RETRY_S)
+            await trio.sleep(LOCAL_FAULT_RETRY_S)
 
     def _make_room(self, *, for_release: bool) -> None:
         """Has one more connection fit within the limit, or raises LocalFaultError."""
-        kept_back = 0 if for_release else min(RELEASE_RESERVE, self.max_connections // RESERVE_SHARE)
-        if self.open_connections >= self.max_connections - kept_back and not self._close_longest_idle():
+        reserved = (
+            0
+            if for_release
+            else min(RELEASE_RESERVED_CONNECTIONS, self.max_connections // RESERVED_CONNECTIONS_DIVISOR)
+        )
+        if self.open_connections >= self.max_connections - reserved and not self._close_longest_idle():
             raise LocalFaultError("too many connections")
 
-    async def _connect(self, server: str, to: Address, timeout_s: float) -> UpstreamConnection:
-        raw = self._new_socket(socket.AF_INET6 if ":" in to[0] else socket.AF_INET)
-        connection = UpstreamConnection(raw, server, to)
+    async def _connect(self, server: str, address: Address, timeout_s: float) -> UpstreamConnection:
+        raw = self._new_socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
+        connection = UpstreamConnection(raw, server, address)
         self.open_connections += 1
         connected = False
         try:
             raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             with trio.fail_after(timeout_s):
-                await connection.sock.connect(to)
+                await connection.sock.connect(address)
             connected = True
             connection.idle_since = trio.current_time()
         except (OSError, trio.TooSlowError) as error:
@@ -256,20 +260,20 @@
             if connection.usable_from > now:
                 continue
             del host.idle[n]
-            if not self._expired(connection) and not connection.has_input():
+            if not self._is_expired(connection) and not connection.has_input():
                 return connection
             self.close(connection)
         return None
 
-    def _is_sound(self, connection: UpstreamConnection) -> bool:
+    def _is_usable(self, connection: UpstreamConnection) -> bool:
         host = self.hosts.get(connection.server)
         if host is None or host.address != connection.address:
             return False
-        if connection.from_pool and self._expired(connection):
+        if connection.from_pool and self._is_expired(connection):
             return False
         return not connection.closed and not connection.has_input()
 
-    def _expired(self, connection: UpstreamConnection) -> bool:
+    def _is_expired(self, connection: UpstreamConnection) -> bool:
         """Whether its host may close it by now, as one that has been idle for too long."""
         return connection.idle_since < trio.current_time() - self.idle_lifetime_s
 
@@ -284,8 +288,8 @@
     def put_back(self, connection: UpstreamConnection) -> None:
         """Keeps a connection after a complete response, if it can be used again."""
         host = self.hosts.get(connection.server)
-        moved = host is None or host.address != connection.address
-        if host is None or moved or connection.closed or not connection.http.reuse():
+        address_changed = host is None or host.address != connection.address
+        if host is None or address_changed or connection.closed or not connection.http.reuse():
             self.close(connection)
             return
         connection.from_pool = True
@@ -305,6 +309,6 @@
 
 
 def _not_connected(error: OSError | trio.TooSlowError) -> NotConnectedError:
-    if isinstance(error, OSError) and error.errno in LOCAL_ERRORS:
+    if isinstance(error, OSError) and error.errno in LOCAL_FAULT_ERRNOS:
         return LocalFaultError(repr(error))
     return NotConnectedError(repr(error))
--- a/violetstack/net/upstream/driver.py
+++ b/violetstack/net/upstream/driver.py
@@ -46,7 +46,7 @@
         """Called once, before the core runs."""
         self._releases = StateReleaser(core, self.pool)
         self.attempts = AttemptRunner(self._nursery, core, self.pool, self._releases, self._report_fields)
-        self._reservations = ReservationCaller(core, self.pool, self.attempts.request_sent)
+        self._reservations = ReservationCaller(core, self.pool, self.attempts.request_sent_waiter)
         self._health_checks = HealthChecker(core, self.pool, self._report_fields)
 
     # --- the core's Driver ---
--- a/violetstack/net/upstream/reservation.py
+++ b/violetstack/net/upstream/reservation.py
@@ -19,17 +19,19 @@
 NOTHING_RESERVED_STATUSES = frozenset({404, 409})
 """A 204 is not among them: a slot may be reserved even so."""
 
-RequestSent = Callable[[Attempt], Callable[[], Awaitable[None]] | None]
+RequestSentWaiter = Callable[[Attempt], Callable[[], Awaitable[None]] | None]
 """Gives a wait for the time when the attempt's request is written, or None if it has ended."""
 
 
 class ReservationCaller:
     """Carries out the core's reservation calls."""
 
-    def __init__(self, core: Dispatcher, pool: ConnectionPool, request_sent: RequestSent) -> None:
+    def __init__(
+        self, core: Dispatcher, pool: ConnectionPool, request_sent_waiter: RequestSentWaiter
+    ) -> None:
         self._core = core
         self._pool = pool
-        self._request_sent = request_sent
+        self._request_sent = request_sent_waiter
 
     async def run(self, call: ReservationCall) -> None:
         """Makes one call and gives the core its result."""
@@ -50,7 +52,7 @@
                         connection,
                         "POST",
                         f"/state/{call.request.id}",
-                        written=lambda: self._core.reservation_written(now_ms(), call),
+                        on_written=lambda: self._core.reservation_written(now_ms(), call),
                     )
                     reserved = RESERVED_BY_STATUS.get(head.status)
                     nothing_reserved = head.status in NOTHING_RESERVED_STATUSES
--- a/violetstack/net/upstream/response_reader.py
+++ b/violetstack/net/upstream/response_reader.py
@@ -69,16 +69,16 @@
         *,
         report_fields: tuple[str, ...],
         openai_api: bool,
-        migration: Callable[[], MigrateStream | None],
-        waiting: Callable[[trio.CancelScope], None],
+        current_migration: Callable[[], MigrateStream | None],
+        set_receive_scope: Callable[[trio.CancelScope], None],
     ) -> None:
         self._core = core
         self._attempt = attempt
         self._connection = connection
         self._report_fields = report_fields
         self._openai_api = openai_api
-        self._migration = migration
-        self._waiting = waiting
+        self._current_migration = current_migration
+        self._set_receive_scope = set_receive_scope
         self._head: ResponseHead | None = None
         self._resumed = False
         """Another process has read the head, of a response in chunks."""
@@ -114,7 +114,7 @@
                     return self._result(self._head)
             if self._attempt.stream_started:
                 await self._wait_for_client()
-            self._note_partial()
+            self._update_partial()
             if await self._migrate():
                 return AttemptResult(AttemptStatus.CANCELLED)
 
@@ -130,12 +130,12 @@
         elif self._attempt.stream_started:
             timeout_s = EVENT_TIMEOUT_S
         deadline = self._progress_at + timeout_s
-        wake_at = deadline
-        if self._migration() is not None and self._attempt.stream_started:
-            wake_at = min(wake_at, trio.current_time() + MIGRATION_RETRY_S)
+        receive_until = deadline
+        if self._current_migration() is not None and self._attempt.stream_started:
+            receive_until = min(receive_until, trio.current_time() + MIGRATION_RETRY_S)
         events: list[ResponseHead | ResponseData | ResponseEnd] = []
-        with trio.move_on_at(wake_at) as timer:
-            self._waiting(timer)
+        with trio.move_on_at(receive_until) as timer:
+            self._set_receive_scope(timer)
             events = await self._connection.receive()
         if timer.cancelled_caught and self._connection.has_input():
             return await self._connection.receive()
@@ -167,11 +167,11 @@
 
     async def _wait_for_client(self) -> None:
         """Backpressure: a slow client's time does not count against the host."""
-        before = trio.current_time()
+        wait_started_at = trio.current_time()
         await self._attempt.request.payload.wait_writable()
-        self._progress_at += trio.current_time() - before
+        self._progress_at += trio.current_time() - wait_started_at
 
-    def _note_partial(self) -> None:
+    def _update_partial(self) -> None:
         was_partial = self._partial
         # An OpenAI-style host sends the head long before the first event.
         awaits_first_event = self._head is not None and not self._attempt.stream_started
@@ -184,7 +184,7 @@
             self._progress_at = trio.current_time()
 
     async def _migrate(self) -> bool:
-        migrate = self._migration()
+        migrate = self._current_migration()
         if migrate is None or not self._attempt.stream_started or self._partial or self._openai_api:
             return False
         return await migrate(self._attempt, self._connection, self._trailer.cached_tokens)
@@ -202,7 +202,7 @@
             raise InvalidResponseError("a stream without an event")
         if rest := self._splitter.end():
             self._core.forward_event(self._attempt, memoryview(rest))
-        cached = self._plausible(self._trailer.cached_tokens)
+        cached = self._clamp_cached_tokens(self._trailer.cached_tokens)
         return AttemptResult(AttemptStatus.OK, cached, self._trailer.load_report)
 
     @staticmethod
@@ -214,7 +214,7 @@
     def _platform_result(self, head: ResponseHead) -> AttemptResult:
         report = report_of(head.headers.get("srv-load"), self._report_fields)
         if head.status == 202 and self._attempt.is_prefill:
-            cached = self._plausible(cached_tokens_of(self._body))
+            cached = self._clamp_cached_tokens(cached_tokens_of(self._body))
             return AttemptResult(AttemptStatus.PREFILLED, cached, report)
         if head.headers.get("srv-declined") == "1" and head.status in REJECTION_STATUSES:
             detail = STATE_MISSING_DETAIL if head.status == STATE_MISSING else 0
@@ -228,6 +228,6 @@
             self._core.request_invalid(now_ms(), attempt)
         return AttemptResult(AttemptStatus.ERROR, 0, report)
 
-    def _plausible(self, cached_tokens: int) -> int:
+    def _clamp_cached_tokens(self, cached_tokens: int) -> int:
         """A count of cached tokens within the prompt's length, whatever the host says."""
         return int(max(0, min(cached_tokens, self._attempt.request.policy_request.prompt_tokens)))
--- a/violetstack/net/upstream/short_call.py
+++ b/violetstack/net/upstream/short_call.py
@@ -12,7 +12,7 @@
 """Reservations and health checks are answered by then."""
 
 
-def _not_of_interest() -> None:
+def _ignore_written() -> None:
     """For calls of which nobody needs to know when they were written."""
 
 
@@ -21,7 +21,7 @@
     connection: UpstreamConnection,
     method: str,
     target: str,
-    written: Callable[[], None] = _not_of_interest,
+    on_written: Callable[[], None] = _ignore_written,
 ) -> ResponseHead:
     """Makes one call; the connection is kept only after a complete response.
 
@@ -33,7 +33,7 @@
     """
     complete = False
     try:
-        await connection.write(connection.http.request(method, target, [("Host", "app.svc")]), written)
+        await connection.write(connection.http.request(method, target, [("Host", "app.svc")]), on_written)
         head: ResponseHead | None = None
         while True:
             for event in await connection.receive():
--- a/violetstack/net/upstream/state_release.py
+++ b/violetstack/net/upstream/state_release.py
@@ -13,15 +13,15 @@
 from violetstack.net.upstream.short_call import short_call
 from violetstack.protocol.http_client import InvalidResponseError
 
-TRY_TIMEOUT_S = 0.3
+HOST_TIMEOUT_S = 0.3
 """For one host to answer."""
-GIVE_UP_S = 5.0
+RELEASE_TIMEOUT_S = 5.0
 """Longer than the rule allows, since the state is still there after that."""
-NEXT_HOST_S = 0.05
+NEXT_HOST_DELAY_S = 0.05
 """Without an answer by then, another host is asked beside it; one that runs answers within milliseconds."""
-NEXT_ROUND_S = 0.1
+NEXT_ROUND_DELAY_S = 0.1
 """Once every host was asked, until they are asked again: bounds the calls while none can be reached."""
-MAX_SEND_DELAY_S = 0.1
+MAX_WAIT_FOR_RELEASE_S = 0.1
 """A further attempt waits this long for the release of what the one before has left."""
 
 
@@ -40,7 +40,7 @@
 
     async def wait_for(self, request: OpenRequest) -> None:
         """Returns once no release of the request is under way, or after `MAX_SEND_DELAY_S`."""
-        with trio.move_on_after(MAX_SEND_DELAY_S):
+        with trio.move_on_after(MAX_WAIT_FOR_RELEASE_S):
             while (call := request.release) is not None and not call.superseded:
                 await self._running[call].wait()
 
@@ -49,47 +49,49 @@
 
         Ends when one has taken it, when a further attempt has made it pointless, or after `GIVE_UP_S`.
         """
-        through = self._running[call]
-        give_up_at = trio.current_time() + GIVE_UP_S
+        finished = self._running[call]
+        deadline = trio.current_time() + RELEASE_TIMEOUT_S
         tried: set[str] = set()
         async with trio.open_nursery() as nursery:
-            while not through.is_set() and not call.superseded and trio.current_time() < give_up_at:
+            while not finished.is_set() and not call.superseded and trio.current_time() < deadline:
                 server = self._best_host(call.request, tried)
                 if server is None:
                     tried.clear()
-                    with trio.move_on_after(NEXT_ROUND_S):
-                        await through.wait()
+                    with trio.move_on_after(NEXT_ROUND_DELAY_S):
+                        await finished.wait()
                     continue
                 tried.add(server)
-                ended = trio.Event()
-                nursery.start_soon(self._ask, call, server, through, ended)
-                with trio.move_on_after(NEXT_HOST_S):
-                    await ended.wait()
+                call_ended = trio.Event()
+                nursery.start_soon(self._call_host, call, server, finished, call_ended)
+                with trio.move_on_after(NEXT_HOST_DELAY_S):
+                    await call_ended.wait()
             nursery.cancel_scope.cancel()
         del self._running[call]
-        if not through.is_set():
+        if not finished.is_set():
             self._core.release_finished(now_ms(), call, False)
-            through.set()
+            finished.set()
 
-    async def _ask(self, call: ReleaseCall, server: str, through: trio.Event, ended: trio.Event) -> None:
+    async def _call_host(
+        self, call: ReleaseCall, server: str, finished: trio.Event, call_ended: trio.Event
+    ) -> None:
         try:
-            with trio.move_on_after(TRY_TIMEOUT_S):
+            with trio.move_on_after(HOST_TIMEOUT_S):
                 connection = await self._pool.acquire(
-                    server, lambda: not call.superseded and not through.is_set(), for_release=True
+                    server, lambda: not call.superseded and not finished.is_set(), for_release=True
                 )
                 if connection is not None:
                     head = await short_call(self._pool, connection, "DELETE", f"/state/{call.request.id}")
-                    if head.status < 300 and not through.is_set():
-                        self._taken(call, server)
-                        through.set()
+                    if head.status < 300 and not finished.is_set():
+                        self._accepted(call, server)
+                        finished.set()
         except (NotConnectedError, OSError, InvalidResponseError):
             pass
         except Exception as error:  # no call's failure may end the program
             log("release_failed", id=call.request.id, error=repr(error))
         finally:
-            ended.set()
+            call_ended.set()
 
-    def _taken(self, call: ReleaseCall, server: str) -> None:
+    def _accepted(self, call: ReleaseCall, server: str) -> None:
         """The core hears of it before an attempt that waits for the release is written, and supersedes it."""
         now = now_ms()
         log_rate_limited("release_taken", id=call.request.id, server=server, ms=round(now - call.started_at))
