--- a/violetstack/net/upstream/__init__.py
+++ b/violetstack/net/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to model hosts, and what travels on them."""
+"""Connections to model hosts, and the requests and calls made on them."""
--- a/violetstack/net/upstream/attempts.py
+++ b/violetstack/net/upstream/attempts.py
@@ -1,4 +1,4 @@
-"""Carries out attempts: one request to one model host, and the way back of its response."""
+"""Runs attempts: sends one request to one model host and forwards its response."""
 
 from __future__ import annotations
 
@@ -30,14 +30,15 @@
 WaitWritable = Callable[[], Awaitable[None]]
 
 SEND_TIMEOUT_S = 0.12
-"""From the first byte of a request, which tells how much time is left, to the last, with which a host begins.
+"""Limit for sending a request, from its first byte to its last.
 
-What is told may exceed what the client has left by 0.15 s.
+The head states the client's remaining time, but the host starts only once it has the last byte. The stated
+time may exceed the actual remaining time by at most 0.15 s.
 """
 
 
 class _RunningAttempt:
-    """What belongs to one attempt while it runs."""
+    """The state of one attempt while it runs."""
 
     def __init__(self) -> None:
         self.scope = trio.CancelScope()
@@ -48,7 +49,7 @@
 
 
 class AttemptRunner:
-    """The attempts under way, a task for each."""
+    """Runs each attempt in its own task and reports its progress to the core."""
 
     def __init__(
         self,
@@ -70,7 +71,7 @@
         return len(self._running)
 
     def start(self, attempt: Attempt) -> None:
-        """Connects, writes the request and reads the response; the core hears of each step."""
+        """Connects, writes the request and reads the response; notifies the core of each step."""
 
         async def exchange(running: _RunningAttempt) -> AttemptResult:
             return await self._exchange(attempt, running)
@@ -80,7 +81,7 @@
     def adopt(
         self, attempt: Attempt, raw: socket.socket, cached_tokens: int, wait_writable: WaitWritable
     ) -> None:
-        """Goes on with a stream that another process began, on its connection."""
+        """Continues a stream that another process began, on the connection that it used."""
         connection = self._pool.adopt(raw, attempt.server)
         connection.http = HttpClientConnection.resumed()
         attempt.request.payload = Payload("POST", "", "", memoryview(b""), wait_writable)
@@ -92,16 +93,16 @@
         self._start_task(attempt, resume_reading)
 
     def migrate_streams(self, migrate_stream: MigrateStream) -> None:
-        """From now on each stream passes to another process, at once or after its next event."""
+        """From now on hands each stream over to another process, at once or after its next event."""
         self._migrate_stream = migrate_stream
         for attempt, running in self._running.items():
             if attempt.stream_started and running.receive_scope is not None:
                 running.receive_scope.cancel()
 
     def abort(self, attempt: Attempt) -> None:
-        """Closes the attempt's connection in this very step.
+        """Closes the attempt's connection before it returns.
 
-        Cancelling alone closes it only when the attempt's task runs again; by then the client may have
+        Cancelling alone would close it only when the attempt's task next runs. By then the client may have
         read its final answer while the host still held the attempt.
         """
         if (running := self._running.get(attempt)) is None:
@@ -111,27 +112,30 @@
         running.scope.cancel()
 
     def is_fully_sent(self, attempt: Attempt) -> bool:
-        """Whether the attempt's last byte has left this machine, as far as is known."""
+        """Whether the attempt's last byte has left this machine; True if that is unknown."""
         connection = self.connection_of(attempt)
         return connection is None or not connection.unsent_bytes()
 
     def is_acknowledged(self, attempt: Attempt) -> bool:
-        """Whether the host has acknowledged all that was written for the attempt, as far as is known."""
+        """Whether the host has acknowledged every byte of the attempt; True if that is unknown."""
         connection = self.connection_of(attempt)
         return connection is None or not connection.unacknowledged_bytes()
 
     def request_sent_waiter(self, attempt: Attempt) -> Callable[[], Awaitable[None]] | None:
-        """Waits until the attempt's request is written, or it has ended; None if it has already."""
+        """A function that waits until the attempt's request is written or the attempt has ended.
+
+        None if the attempt has already ended.
+        """
         running = self._running.get(attempt)
         return running.request_sent_or_ended.wait if running is not None else None
 
     def connection_of(self, attempt: Attempt) -> UpstreamConnection | None:
-        """The connection that the attempt uses now."""
+        """The connection that the attempt currently uses; None if there is none."""
         running = self._running.get(attempt)
         return running.connection if running is not None else None
 
     def has_unread_input(self) -> bool:
-        """Whether bytes of any response wait in a socket."""
+        """Whether any attempt's socket holds response bytes that were not read."""
         connections = (running.connection for running in self._running.values())
         return any(c.has_input() for c in connections if c is not None and not c.closed)
 
@@ -158,7 +162,7 @@
             self._report(attempt, result)
 
     def _report(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Tells the core how the attempt ended; a failure there may not end the program either."""
+        """Reports the result to the core; an exception raised there must not end the process."""
         try:
             self._core.attempt_finished(now_ms(), attempt, result.status, result.detail, result.load_report)
         except Exception as error:
@@ -170,7 +174,7 @@
         running: _RunningAttempt,
         exchange: Callable[[_RunningAttempt], Awaitable[AttemptResult]],
     ) -> AttemptResult:
-        """The exchange's result, whatever it raises: no attempt's failure may end the program."""
+        """Returns the exchange's result, or the one for its exception: no attempt may end the process."""
         try:
             return await exchange(running)
         except SendWithheldError:
@@ -236,7 +240,7 @@
         connection: UpstreamConnection,
         read: Callable[[], Awaitable[AttemptResult]],
     ) -> AttemptResult:
-        """Runs `read`, and keeps the connection only if a complete response came on it."""
+        """Runs `read`, and returns the connection to the pool only after a complete response."""
         complete = False
         running.connection = connection
         try:
--- a/violetstack/net/upstream/connection.py
+++ b/violetstack/net/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a model host; one request at a time travels on it."""
+"""One connection to a model host; it carries one request at a time."""
 
 from __future__ import annotations
 
@@ -23,34 +23,37 @@
 )
 
 SIOCOUTQNSD = 0x894B
-"""Linux: bytes of the send queue that were not sent, unlike TIOCOUTQ's, which were not acknowledged."""
+"""Linux ioctl: bytes in the send queue that were not sent yet; TIOCOUTQ counts those not acknowledged."""
 READ_SIZE = 32 * 1024
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""SO_LINGER for no time: the kernel drops what it has not sent, and resets the connection."""
+"""SO_LINGER with a zero timeout: on close the kernel discards unsent data and resets the connection."""
 
 
 class UpstreamError(Exception):
-    """Base of the errors of connections to model hosts."""
+    """Base class for errors of connections to model hosts."""
 
 
 class NotConnectedError(UpstreamError):
-    """No connection came up, or it broke before the last byte was written: the request has not run."""
+    """The connection failed before the last byte of the request was written: the request did not run."""
 
 
 class LocalFaultError(NotConnectedError):
-    """This machine lacks what a connection takes: a descriptor, memory, a port. The host is not to blame."""
+    """This machine lacks a descriptor, memory or a port for the connection: not the host's fault."""
 
 
 class ProcessDelayedError(LocalFaultError):
-    """This process was held up while it wrote, and what it tells is out of date. The rest is unsent."""
+    """This process was delayed past the time limit while writing; the rest of the request was not sent.
+
+    The remaining time that the request's head states is out of date by then.
+    """
 
 
 class SendTimeoutError(UpstreamError):
-    """The host did not take the request in time; it has not received all of it."""
+    """The host did not read the request within the time limit; it has not received all of it."""
 
 
 class SendWithheldError(UpstreamError):
-    """The request may no longer be sent; the host has not received all of it."""
+    """The request must not be sent any more, and the host has not received all of it."""
 
 
 class UpstreamConnection:
@@ -63,12 +66,12 @@
         self.address = address
         self.closed = False
         self.from_pool = False
-        """It was idle before, so its host may have closed it for that."""
+        """Whether the connection was idle in the pool, so that its host may have closed it meanwhile."""
         self.http = HttpClientConnection()
         self.idle_since = 0.0
-        """When it came up, or its last response ended; on trio's clock."""
+        """When the connection was established or its last response ended, on trio's clock."""
         self.usable_from = 0.0
-        """Not to be used before this time, on trio's clock."""
+        """The connection must not be used before this time, on trio's clock."""
 
     async def write(
         self,
@@ -77,14 +80,17 @@
         may_continue: Callable[[], bool] = always_allowed,
         timeout_s: float = math.inf,
     ) -> None:
-        """Writes a request; `written` is called in the same step as the system call for its last byte.
+        """Writes a request and calls `on_written` right after the system call that takes its last byte.
+
+        No other task runs between the two. trio's own send yields between the system call and its return: if
+        a deadline expired there, an attempt would count as not sent although the host has received it.
 
-        trio's own send lets other tasks run between the system call and its return: a deadline in between
-        would count an attempt as not sent that the host has received.
+        Raises:
+            SendWithheldError: `may_continue` returned False.
+            SendTimeoutError: The host did not read the request within `timeout_s`.
+            ProcessDelayedError: This process itself took longer than `timeout_s`.
 
-        Raises SendWithheldError as soon as `allowed` returns False, SendTimeoutError if the host does not
-        take the request within `timeout_s`, and HeldUpError if it is this process that took longer; each with
-        the last byte unsent.
+            After each of these the last byte is still unsent.
         """
         deadline = trio.current_time() + timeout_s
         for n, part in enumerate(parts):
@@ -93,7 +99,9 @@
                 if not may_continue():
                     raise SendWithheldError
                 if trio.current_time() >= deadline:
-                    raise ProcessDelayedError("held up while writing")
+                    raise ProcessDelayedError(
+                        f"this process was delayed by more than {timeout_s:g} s while writing a request"
+                    )
                 try:
                     unsent = unsent[send_some(self._raw, unsent) :]
                 except BlockingIOError as error:
@@ -111,7 +119,12 @@
             raise SendTimeoutError
 
     async def receive(self) -> list[ResponseHead | ResponseData | ResponseEnd]:
-        """Reads once and returns what is complete; raises InvalidResponseError, OSError."""
+        """Reads once and returns the parts of the response that are complete.
+
+        Raises:
+            InvalidResponseError: The response is not HTTP, or the connection was aborted meanwhile.
+            OSError: The connection broke.
+        """
         self.http.check()
         data = await receive(self.sock, READ_SIZE)
         if self.closed:
@@ -119,27 +132,27 @@
         return self.http.feed(data)
 
     def has_input(self) -> bool:
-        """Whether there is something to read. On an idle connection that is its end."""
+        """Whether there is something to read. On an idle connection this means that the host closed it."""
         return is_readable(self.sock, if_unknown=False)
 
     def abort(self) -> None:
         """Closes the socket at once, so that no further byte reaches the host.
 
-        After a plain close the kernel still delivers what it holds: a host whose receive window was full
-        would get the rest of a request that is over, and begin it.
+        After a plain close the kernel still delivers the data in its send queue: a host whose receive window
+        was full would receive the rest of a request that is over, and start to process it.
         """
         if self.unacknowledged_bytes():
             self._raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.close()
 
     def unacknowledged_bytes(self) -> int:
-        """Bytes in the kernel that the host has not acknowledged; 0 where the system does not tell."""
+        """Written bytes that the host has not acknowledged; 0 if the system does not report them."""
         return self._queued_bytes(termios.TIOCOUTQ)
 
     def unsent_bytes(self) -> int:
-        """Bytes in the kernel that have not left this machine yet; 0 where the system does not tell.
+        """Written bytes that have not left this machine yet; 0 if the system does not report them.
 
-        A host that does not read, or a network that is cut, stops them.
+        They stay in the kernel while the host does not read or the network is down.
         """
         return self._queued_bytes(SIOCOUTQNSD)
 
--- a/violetstack/net/upstream/connection_pool.py
+++ b/violetstack/net/upstream/connection_pool.py
@@ -1,4 +1,4 @@
-"""Addresses of the model hosts, and the idle connections to them."""
+"""Addresses of the model hosts, and a pool of the idle connections to them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 IDLE_LIFETIME_SHARE = 0.8
-"""Idle connections are closed after this part of the time after which hosts close them."""
+"""Idle connections are closed after this share of the time after which hosts close them."""
 IDLE_CHECK_INTERVAL_S = 1.0
 LOCAL_FAULT_ERRNOS = frozenset(
     {
@@ -31,38 +31,41 @@
         errno.ENETDOWN,
     }
 )
-"""Of socket() and connect(): nothing has been sent, and the fault is this machine's. EAGAIN: no free port."""
+"""Errors of socket() and connect() that this machine causes; nothing was sent. EAGAIN: no free port."""
 LOCAL_FAULT_RETRY_S = 0.02
-"""After a local fault a connection is tried again, or one that became idle is taken, at this interval."""
+"""Interval at which, after a local fault, a new connection or one that became idle is tried."""
 RELEASE_RESERVED_CONNECTIONS = 4
-"""Connections of the pool that only releases may open: attempts that nobody answers can take all others."""
+"""Connections that only releases may open: attempts at unresponsive hosts can occupy all others."""
 RESERVED_CONNECTIONS_DIVISOR = 8
-"""At most one of so many connections is kept back."""
+"""At most 1/8 of all connections are reserved for releases."""
 REUSE_DELAY_S = 0.1
-"""Rest after a response: a spurious second one that comes late would be read as the next request's."""
+"""Delay before reuse after a response, to detect a spurious second response.
+
+If that arrived after the next request was sent, it would be read as the response to it.
+"""
 
 
 class UpstreamHost(msgspec.Struct):
-    """One host's address, and the idle connections to it, the one used last at the end."""
+    """One host's address, and the idle connections to it, the most recently used at the end."""
 
     address: Address
     idle: list[UpstreamConnection]
     openai_api: bool = False
-    """It speaks OpenAI's API and has none of the platform's calls."""
+    """Whether the host speaks OpenAI's API, without the platform's calls."""
     api_key: str = ""
     started_ms: float | None = None
     last_response_at: float = 0.0
 
     def has_usable_idle(self) -> bool:
-        """Whether a connection is idle that has rested since its last response."""
+        """Whether there is an idle connection whose delay before reuse is over."""
         now = trio.current_time()
         return any(connection.usable_from <= now for connection in self.idle)
 
 
 class ConnectionPool:
-    """Opens, keeps and bounds connections to model hosts.
+    """Opens connections to model hosts, keeps idle ones for reuse, and limits their number.
 
-    `connect_timeout_ms`: 0 means the default; `idle_close_ms`: after this long hosts close idle connections.
+    `connect_timeout_ms`: 0 means the default. `idle_close_ms`: time after which hosts close idle connections.
     `wait_caught_up` returns once all sockets have been read after a pause of the process.
     """
 
@@ -77,7 +80,7 @@
     # --- addresses ---
 
     def update(self, endpoint_update: EndpointUpdate, addresses: dict[str, str]) -> None:
-        """Applies an endpoint update; `addresses` has a `host:port` for each server."""
+        """Applies an endpoint update; `addresses` maps each server to its `host:port`."""
         for name, text in addresses.items():
             self._set_address(name, text)
         for entry in endpoint_update.endpoints:
@@ -103,7 +106,7 @@
         if host is None:
             return
         if state is EndpointState.REMOVED or started_ms != host.started_ms:
-            self._close_idle(host)  # these connections belong to a process that has ended
+            self._close_idle(host)  # the host's former process had these connections
         host.started_ms = started_ms
         if state is EndpointState.REMOVED:
             del self.hosts[server]
@@ -116,7 +119,7 @@
     # --- connections ---
 
     def close(self, connection: UpstreamConnection) -> None:
-        """Closes a connection that this pool has opened or adopted."""
+        """Closes a connection that this pool opened or adopted."""
         connection.close()
         self.open_connections -= 1
 
@@ -147,14 +150,19 @@
         *,
         for_release: bool = False,
     ) -> UpstreamConnection | None:
-        """A connection for bytes that are written in this very step; None if they are not wanted any more.
-
-        `wanted` is asked once the connection is up: meanwhile the host may have been told to drain, been
-        replaced or removed, or the request may be over. `prerequisite` is awaited before that; `timeout_s`
-        bounds the connecting, if it is less than the pool's own time-out. `for_release` may use the
-        connections that are kept back.
-
-        Raises NotConnectedError.
+        """A connection on which the caller writes at once, before any other task runs.
+
+        Args:
+            server: The host to connect to.
+            still_wanted: Called once the connection is established, since the host may have started to drain
+                or been replaced or removed meanwhile, or the request may be over. If it returns False, the
+                result is None.
+            prerequisite: Awaited before `still_wanted` is called.
+            timeout_s: Limits the time to connect if it is less than the pool's own timeout.
+            for_release: Whether the connections reserved for releases may be used.
+
+        Raises:
+            NotConnectedError: No usable connection to the host could be established.
         """
         deadline = trio.current_time() + min(self.connect_timeout_s, timeout_s)
         while True:
@@ -169,12 +177,14 @@
             if not still_wanted():
                 return None
             if not connection.from_pool:
-                raise NotConnectedError("it broke, or the host sent bytes before it was asked")
+                raise NotConnectedError(
+                    f"new connection to {server} broke, or the host sent bytes before the request"
+                )
 
     async def _wait_until_sendable(
         self, connection: UpstreamConnection, prerequisite: Callable[[], Awaitable[object]] | None
     ) -> bool:
-        """Returns whether the connection can still be used once its caller may send; closed if it cannot."""
+        """Waits until the caller may send; False if the connection is unusable by then, and closed."""
         usable = False
         try:
             await trio.lowlevel.checkpoint_if_cancelled()
@@ -188,16 +198,19 @@
         return usable
 
     async def open(self, server: str, timeout_s: float, *, for_release: bool = False) -> UpstreamConnection:
-        """An idle connection, or a new one within `timeout_s`; raises NotConnectedError.
+        """An idle connection, or a new one that is established within `timeout_s`.
 
-        After a local fault this waits until the fault is over or a connection to the host becomes idle: at
-        once, all attempts of a request would fail one after the other.
+        After a local fault this waits until the fault is over or a connection to the host becomes idle. If it
+        failed immediately, a request would use up all its attempts one after the other.
+
+        Raises:
+            NotConnectedError: The host has no address, or no connection was established in time.
         """
         deadline = trio.current_time() + timeout_s
         while True:
             host = self.hosts.get(server)
             if host is None:
-                raise NotConnectedError("no address")
+                raise NotConnectedError(f"no address is known for {server}")
             if (idle := self._take_idle(host)) is not None:
                 return idle
             left_s = deadline - trio.current_time()
@@ -210,14 +223,20 @@
             await trio.sleep(LOCAL_FAULT_RETRY_S)
 
     def _make_room(self, *, for_release: bool) -> None:
-        """Has one more connection fit within the limit, or raises LocalFaultError."""
+        """Makes room for one more connection within the limit, by closing an idle one if necessary.
+
+        Raises:
+            LocalFaultError: The limit is reached, and no connection is idle.
+        """
         reserved = (
             0
             if for_release
             else min(RELEASE_RESERVED_CONNECTIONS, self.max_connections // RESERVED_CONNECTIONS_DIVISOR)
         )
         if self.open_connections >= self.max_connections - reserved and not self._close_longest_idle():
-            raise LocalFaultError("too many connections")
+            raise LocalFaultError(
+                f"too many connections: {self.open_connections} of {self.max_connections} are open"
+            )
 
     async def _connect(self, server: str, address: Address, timeout_s: float) -> UpstreamConnection:
         raw = self._new_socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
@@ -238,9 +257,10 @@
         return connection
 
     def _new_socket(self, family: socket.AddressFamily) -> socket.socket:
-        """A socket, for which one idle connection gives way if this process has no descriptor left.
+        """A new socket; closes one idle connection for it if this process has no descriptor left.
 
-        Where the whole machine has none, the idle connections are what serves requests meanwhile.
+        If the whole machine has none left (ENFILE), the idle connections are kept: they serve requests
+        meanwhile.
         """
         try:
             return socket.socket(family)
@@ -253,7 +273,7 @@
             raise _not_connected(error) from None
 
     def _take_idle(self, host: UpstreamHost) -> UpstreamConnection | None:
-        """The one used last of those that have rested since."""
+        """The most recently used idle connection whose delay before reuse is over."""
         now = trio.current_time()
         for n in range(len(host.idle) - 1, -1, -1):
             connection = host.idle[n]
@@ -274,7 +294,7 @@
         return not connection.closed and not connection.has_input()
 
     def _is_expired(self, connection: UpstreamConnection) -> bool:
-        """Whether its host may close it by now, as one that has been idle for too long."""
+        """Whether the connection has been idle for so long that its host may close it."""
         return connection.idle_since < trio.current_time() - self.idle_lifetime_s
 
     def _close_longest_idle(self) -> bool:
@@ -286,7 +306,7 @@
         return True
 
     def put_back(self, connection: UpstreamConnection) -> None:
-        """Keeps a connection after a complete response, if it can be used again."""
+        """Returns a connection to the pool after a complete response; closes it if it cannot be reused."""
         host = self.hosts.get(connection.server)
         address_changed = host is None or host.address != connection.address
         if host is None or address_changed or connection.closed or not connection.http.reuse():
@@ -299,13 +319,13 @@
         host.idle.append(connection)
 
     def _put_back_unused(self, connection: UpstreamConnection) -> None:
-        """Keeps a connection that was not written to: for its host it has been idle all the time."""
+        """Returns a connection that was not written to: it has been idle since before it was acquired."""
         host = self.hosts.get(connection.server)
         if host is None or connection.closed:
             self.close(connection)
         else:
             connection.from_pool = True
-            bisect.insort(host.idle, connection, key=lambda each: each.idle_since)
+            bisect.insort(host.idle, connection, key=lambda idle: idle.idle_since)
 
 
 def _not_connected(error: OSError | trio.TooSlowError) -> NotConnectedError:
--- a/violetstack/net/upstream/driver.py
+++ b/violetstack/net/upstream/driver.py
@@ -1,4 +1,4 @@
-"""Carries out what the core asks of model hosts and of the other dispatchers."""
+"""Carries out the core's commands to model hosts and to the other dispatchers."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 RATE_LIMITED_EVENTS = frozenset(
     {"policy", "hold_unclaimed", "reservation_uncertain", "release_started", "release_taken"}
 )
-"""Events that other dispatchers or hosts can cause at will."""
+"""Events that other dispatchers or hosts can cause any number of times."""
 
 
 def _no_gossip(payload: bytes, /) -> None:
-    """Where dispatchers do not gossip, or not yet."""
+    """Drops a datagram: gossip is disabled, or not started yet."""
 
 
 class UpstreamDriver:
-    """The core's `Driver`. Core and driver need each other: `connect_core` completes the driver."""
+    """The core's `Driver`. Core and driver refer to each other: `connect_core` completes the driver."""
 
     attempts: AttemptRunner
     _reservations: ReservationCaller
@@ -43,7 +43,7 @@
         self._report_fields = report_fields
 
     def connect_core(self, core: Dispatcher) -> None:
-        """Called once, before the core runs."""
+        """Creates the parts that need the core; called once, before the core runs."""
         self._releases = StateReleaser(core, self.pool)
         self.attempts = AttemptRunner(self._nursery, core, self.pool, self._releases, self._report_fields)
         self._reservations = ReservationCaller(core, self.pool, self.attempts.request_sent_waiter)
@@ -52,7 +52,7 @@
     # --- the core's Driver ---
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Starts the attempt's task."""
+        """Starts a task that runs the attempt."""
         self.attempts.start(attempt)
 
     def abort_attempt(self, attempt: Attempt) -> None:
@@ -60,24 +60,24 @@
         self.attempts.abort(attempt)
 
     def is_fully_sent(self, attempt: Attempt) -> bool:
-        """Whether the attempt's last byte has left this machine, as far as is known."""
+        """Whether the attempt's last byte has left this machine; True if that is unknown."""
         return self.attempts.is_fully_sent(attempt)
 
     def is_acknowledged(self, attempt: Attempt) -> bool:
-        """Whether the host has acknowledged all that was written for the attempt, as far as is known."""
+        """Whether the host has acknowledged every byte of the attempt; True if that is unknown."""
         return self.attempts.is_acknowledged(attempt)
 
     def reserve_decode_slot(self, call: ReservationCall) -> None:
-        """Starts a reservation call."""
+        """Starts a task that makes a reservation call."""
         self._nursery.start_soon(self._reservations.run, call)
 
     def release_state(self, call: ReleaseCall) -> None:
-        """Starts a release call."""
+        """Starts a task that makes a release call."""
         self._releases.register(call)
         self._nursery.start_soon(self._releases.run, call)
 
     def check_health(self, server: str) -> None:
-        """Starts a health check."""
+        """Starts a task that makes a health check."""
         self._nursery.start_soon(self._health_checks.run, server)
 
     def send_gossip(self, payload: bytes, /) -> None:
@@ -85,21 +85,21 @@
         self.gossip(payload)
 
     def log(self, event: str, **fields: Any) -> None:
-        """Writes a log line, or drops it where others can cause too many of its kind."""
+        """Writes a log line, rate-limited for events that other machines can cause."""
         (log_rate_limited if event in RATE_LIMITED_EVENTS else log)(event, **fields)
 
     # --- for the daemon ---
 
     def has_unread_input(self) -> bool:
-        """Whether a response lies unread in a socket."""
+        """Whether any socket holds response bytes that were not read."""
         return self.attempts.has_unread_input()
 
     def adopt_stream(
         self, attempt: Attempt, raw: socket.socket, cached_tokens: int, wait_writable: WaitWritable
     ) -> None:
-        """Goes on with a stream that another process began."""
+        """Continues a stream that another process began."""
         self.attempts.adopt(attempt, raw, cached_tokens, wait_writable)
 
     def migrate_streams(self, migrate_stream: MigrateStream) -> None:
-        """Hands all streams over to another process from now on."""
+        """From now on hands all streams over to another process."""
         self.attempts.migrate_streams(migrate_stream)
--- a/violetstack/net/upstream/health_check.py
+++ b/violetstack/net/upstream/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks of model hosts, where the settings allow them."""
+"""Health checks of model hosts, if the settings allow them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HealthChecker:
-    """Carries out the core's health checks."""
+    """Makes the core's health checks."""
 
     def __init__(self, core: Dispatcher, pool: ConnectionPool, report_fields: tuple[str, ...]) -> None:
         self._core = core
@@ -24,9 +24,10 @@
         self._report_fields = report_fields
 
     async def run(self, server: str) -> None:
-        """Makes one check and gives the core its result.
+        """Makes one check and reports its result to the core.
 
-        There is none if the host is draining by then, or if this machine lacks what a connection takes.
+        There is no result if the host has started to drain meanwhile, or if this machine lacks a resource for
+        the connection.
         """
         if server in self._core.stateless_hosts:
             return
@@ -47,6 +48,6 @@
             status = AttemptStatus.CONNECT_FAILED
         except (OSError, InvalidResponseError):
             status = AttemptStatus.RESET
-        except Exception as error:  # no check's failure may end the program
+        except Exception as error:  # a failed check must not end the process
             log("health_check_failed", server=server, error=repr(error))
         self._core.health_check_finished(HealthCheckResult(server, status, now_ms() - began_at, report))
--- a/violetstack/net/upstream/reservation.py
+++ b/violetstack/net/upstream/reservation.py
@@ -1,4 +1,4 @@
-"""Reserves a slot for a request at a decode host while its prompt is read at a prefill host."""
+"""Reserves a decode slot for a request while a prefill host processes its prompt."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 RESERVED_BY_STATUS = {200: True, 409: False}
 NOTHING_RESERVED_STATUSES = frozenset({404, 409})
-"""A 204 is not among them: a slot may be reserved even so."""
+"""Statuses after which the host certainly holds no slot. After a 204 it may hold one."""
 
 RequestSentWaiter = Callable[[Attempt], Callable[[], Awaitable[None]] | None]
-"""Gives a wait for the time when the attempt's request is written, or None if it has ended."""
+"""Returns a function that waits until the attempt's request is written; None if the attempt has ended."""
 
 
 class ReservationCaller:
-    """Carries out the core's reservation calls."""
+    """Makes the core's reservation calls."""
 
     def __init__(
         self, core: Dispatcher, pool: ConnectionPool, request_sent_waiter: RequestSentWaiter
@@ -34,13 +34,13 @@
         self._request_sent = request_sent_waiter
 
     async def run(self, call: ReservationCall) -> None:
-        """Makes one call and gives the core its result."""
+        """Makes one call and reports its result to the core."""
         reserved: bool | None = None
         nothing_reserved = True
         try:
             with trio.move_on_after(CALL_TIMEOUT_S):
                 if call.server in self._core.stateless_hosts:
-                    raise NotConnectedError("it reserves no slots")
+                    raise NotConnectedError(f"host {call.server} does not support reservations")
                 prerequisite = self._request_sent(call.attempt) if call.attempt is not None else None
                 connection = await self._pool.acquire(
                     call.server, lambda: self._core.may_reserve(call), prerequisite
@@ -58,6 +58,6 @@
                     nothing_reserved = head.status in NOTHING_RESERVED_STATUSES
         except (NotConnectedError, OSError, InvalidResponseError):
             pass
-        except Exception as error:  # no call's failure may end the program
+        except Exception as error:  # a failed call must not end the process
             log("reservation_failed", id=call.request.id, error=repr(error))
         self._core.reservation_finished(now_ms(), call, reserved, nothing_reserved)
--- a/violetstack/net/upstream/response_reader.py
+++ b/violetstack/net/upstream/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads a model host's response to one attempt, and forwards its events as they come."""
+"""Reads a model host's response to one attempt, and forwards its events as they arrive."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 from violetstack.protocol.http_client import InvalidResponseError, ResponseData, ResponseEnd, ResponseHead
 
 HEAD_TIMEOUT_S = 30.0
-"""For the first byte of a response; the attempt's own deadline is far shorter."""
+"""Limit for the first byte of a response; the attempt's own deadline is far shorter."""
 EVENT_TIMEOUT_S = 4.3
-"""Between two events: clients may be left waiting on a stream that has stopped for less than 5 s."""
+"""Limit between two events: a client must not wait 5 s or longer on a stream that has stopped."""
 PARTIAL_TIMEOUT_S = 1.5
-"""The rest of a head, of a first event or of a chunk comes with its beginning, or never."""
+"""Limit for the rest of a head, first event or chunk: it normally arrives together with its beginning."""
 MIGRATION_RETRY_S = 0.1
-"""A stream that could not be migrated is tried again after this time."""
+"""Interval at which the migration of a stream is retried after it was not possible."""
 MAX_BODY_BYTES = 64 * 1024
-"""Of a response that is no stream."""
+"""Limit for the body of a response that is not a stream."""
 INVALID_REQUEST_STATUSES = frozenset({400, 404, 405, 411, 413, 414, 415, 422, 431})
-"""The request itself is at fault: every other host would reject it, too."""
+"""The request itself is invalid: every other host would reject it, too."""
 TOO_MANY_REQUESTS = 429
 STATE_MISSING = 410
 REJECTION_STATUSES = frozenset({STATE_MISSING, 503, 504})
-"""With `Srv-Declined: 1` the host has not run the request; with any other status it may have."""
+"""With `Srv-Declined: 1` and one of these the host has not run the request; with any other it may have."""
 STATE_MISSING_DETAIL = 1
-"""`AttemptFinished.detail` of a rejection because the state is no longer there."""
+"""`AttemptFinished.detail` of a rejection because the host no longer holds the prefilled state."""
 
 MigrateStream = Callable[[Attempt, UpstreamConnection, int], Awaitable[bool]]
-"""Hands a stream to another process, with the tokens that were cached; False: it goes on here."""
+"""Hands a stream and its number of cached tokens to another process; False if it must continue here."""
 
 
 class AttemptResult(NamedTuple):
@@ -55,10 +55,10 @@
 
 
 class ResponseReader:
-    """One response, from its head to its end.
+    """Reads one response, from its head to its end.
 
-    Responses that are spoilt while their connection stays open would keep the client waiting for ever: what
-    does not end where it should is broken off by time-outs.
+    A response that stops or is malformed while its connection stays open would keep the client waiting for
+    ever. Timeouts therefore end every response that does not continue.
     """
 
     def __init__(
@@ -81,27 +81,27 @@
         self._set_receive_scope = set_receive_scope
         self._head: ResponseHead | None = None
         self._resumed = False
-        """Another process has read the head, of a response in chunks."""
+        """Whether another process has read the head; the response has chunked encoding then."""
         self._body = b""
         self._splitter = sse.Splitter()
         self._trailer = StreamTrailer(report_fields)
         self._partial = False
         self._progress_at = trio.current_time()
-        """The last complete event, or the beginning of what is incomplete."""
+        """Time of the last complete event, or of the beginning of an incomplete part, on trio's clock."""
 
     async def resume(self, cached_tokens: int) -> AttemptResult:
-        """Goes on with a stream whose beginning another process has read."""
+        """Continues a stream whose beginning another process has read."""
         self._head = ResponseHead(200, {})
         self._resumed = True
         self._trailer.cached_tokens = cached_tokens
         return await self.read()
 
     async def read(self) -> AttemptResult:
-        """Reads until the response's end; the status CANCELLED means that the stream was migrated.
+        """Reads to the end of the response; the status CANCELLED means that the stream was migrated.
 
         Raises:
             InvalidResponseError: The response is not HTTP, or is incomplete.
-            sse.InvalidEventError: Its body is no stream of events.
+            sse.InvalidEventError: Its body is not a stream of server-sent events.
             OSError: The connection broke.
         """
         while True:
@@ -119,10 +119,13 @@
                 return AttemptResult(AttemptStatus.CANCELLED)
 
     async def _receive(self) -> list[ResponseHead | ResponseData | ResponseEnd]:
-        """Reads once, at the latest when the time is over.
+        """Reads once, until the time limit for the next part.
 
-        It may be over before this process has looked at its input, as after a pause. What lies there is read
-        first then, outside of the expired timer, which would cancel each further read as well.
+        After a pause of this process the limit may be over before its input was looked at. Waiting input is
+        read first then, outside of the expired cancel scope, which would cancel every further read as well.
+
+        Raises:
+            InvalidResponseError: Nothing arrived within the limit.
         """
         timeout_s = HEAD_TIMEOUT_S
         if self._partial:
@@ -140,40 +143,48 @@
         if timer.cancelled_caught and self._connection.has_input():
             return await self._connection.receive()
         if timer.cancelled_caught and trio.current_time() >= deadline:
-            raise InvalidResponseError("the rest of the answer does not come" if self._partial else "silent")
+            raise InvalidResponseError(
+                f"the rest of a response part did not arrive within {PARTIAL_TIMEOUT_S} s"
+                if self._partial
+                else "silent"
+            )
         return events
 
     def _read_head(self, head: ResponseHead) -> None:
         framed = "transfer-encoding" in head.headers or "content-length" in head.headers
         if head.status == 200 and not framed and not self._openai_api:
-            raise InvalidResponseError("a stream whose end cannot be told from a break")
+            raise InvalidResponseError(
+                "a stream without Content-Length or chunked encoding, whose end looks like a break"
+            )
         self._head = head
 
     def _read_body(self, head: ResponseHead, data: memoryview) -> None:
         if head.status != 200:
             self._body += bytes(data)
             if len(self._body) > MAX_BODY_BYTES:
-                raise InvalidResponseError("an answer without an end")
+                raise InvalidResponseError(
+                    f"body of a response with status {head.status} exceeds {MAX_BODY_BYTES} bytes"
+                )
             return
         for event in self._splitter.feed(data):
             if self._openai_api and is_error_event(event):
-                raise InvalidResponseError("an error in the stream")
+                raise InvalidResponseError("the stream contains an error event")
             if not self._attempt.stream_started and not self._core.stream_started(now_ms(), self._attempt):
-                raise InvalidResponseError("an answer that nobody wants")
+                raise InvalidResponseError("the stream is not wanted any more: the core has rejected it")
             self._trailer.read(event)
             self._core.forward_event(self._attempt, event)
             self._progress_at = trio.current_time()
             self._partial = False
 
     async def _wait_for_client(self) -> None:
-        """Backpressure: a slow client's time does not count against the host."""
+        """Applies backpressure; the time spent waiting for a slow client does not count against the host."""
         wait_started_at = trio.current_time()
         await self._attempt.request.payload.wait_writable()
         self._progress_at += trio.current_time() - wait_started_at
 
     def _update_partial(self) -> None:
         was_partial = self._partial
-        # An OpenAI-style host sends the head long before the first event.
+        # An OpenAI-style host may send the head long before the first event.
         awaits_first_event = self._head is not None and not self._attempt.stream_started
         self._partial = (
             self._connection.http.partial
@@ -189,17 +200,17 @@
             return False
         return await migrate(self._attempt, self._connection, self._trailer.cached_tokens)
 
-    # --- what a complete response means ---
+    # --- result of a complete response ---
 
     def _result(self, head: ResponseHead) -> AttemptResult:
         if head.status != 200:
             return self._openai_result(head) if self._openai_api else self._platform_result(head)
-        # A wrong Content-Length ends a stream anywhere; the last chunk is written by whoever knows the end.
+        # With a wrong Content-Length a stream may end anywhere; only chunked encoding marks its real end.
         chunked = "transfer-encoding" in head.headers or self._resumed
         if not self._trailer.done and (self._openai_api or not chunked):
-            raise InvalidResponseError("a stream without [DONE]")
+            raise InvalidResponseError("a stream ended without [DONE]")
         if not self._attempt.stream_started:
-            raise InvalidResponseError("a stream without an event")
+            raise InvalidResponseError("a stream ended without an event")
         if rest := self._splitter.end():
             self._core.forward_event(self._attempt, memoryview(rest))
         cached = self._clamp_cached_tokens(self._trailer.cached_tokens)
@@ -207,7 +218,7 @@
 
     @staticmethod
     def _openai_result(head: ResponseHead) -> AttemptResult:
-        """A 429 has not run, anything else may have."""
+        """After a 429 the request has not run; after any other status it may have."""
         rejected = head.status == TOO_MANY_REQUESTS
         return AttemptResult(AttemptStatus.REJECTED if rejected else AttemptStatus.ERROR)
 
@@ -220,7 +231,7 @@
             detail = STATE_MISSING_DETAIL if head.status == STATE_MISSING else 0
             return AttemptResult(AttemptStatus.REJECTED, detail, report)
         if head.status in INVALID_REQUEST_STATUSES:
-            # No other host is asked, and none is blamed.
+            # The request is not retried at another host, and this host is not penalised.
             attempt = self._attempt
             log_rate_limited(
                 "upstream_rejected_request", id=attempt.request.id, server=attempt.server, status=head.status
@@ -229,5 +240,5 @@
         return AttemptResult(AttemptStatus.ERROR, 0, report)
 
     def _clamp_cached_tokens(self, cached_tokens: int) -> int:
-        """A count of cached tokens within the prompt's length, whatever the host says."""
+        """Limits the host's count of cached tokens to the length of the prompt."""
         return int(max(0, min(cached_tokens, self._attempt.request.policy_request.prompt_tokens)))
--- a/violetstack/net/upstream/short_call.py
+++ b/violetstack/net/upstream/short_call.py
@@ -1,4 +1,4 @@
-"""Calls to model hosts that have no body and a short answer."""
+"""Calls to model hosts without a request body and with a short response."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from violetstack.protocol.http_client import ResponseEnd, ResponseHead
 
 CALL_TIMEOUT_S = 0.6
-"""Reservations and health checks are answered by then."""
+"""Time limit for a reservation or health check, including the time to connect."""
 
 
 def _ignore_written() -> None:
-    """For calls of which nobody needs to know when they were written."""
+    """Default callback, for calls whose time of writing is not needed."""
 
 
 async def short_call(
@@ -23,9 +23,9 @@
     target: str,
     on_written: Callable[[], None] = _ignore_written,
 ) -> ResponseHead:
-    """Makes one call; the connection is kept only after a complete response.
+    """Makes one call; returns the connection to the pool only after a complete response.
 
-    `written` is called in the step that hands the last byte to the kernel.
+    `on_written` is called right after the kernel has taken the last byte, before any other task runs.
 
     Raises:
         InvalidResponseError: The response is not HTTP, or is incomplete.
--- a/violetstack/net/upstream/state_release.py
+++ b/violetstack/net/upstream/state_release.py
@@ -1,4 +1,4 @@
-"""Releases what model hosts hold for a request: its prefill state, and a reserved decode slot."""
+"""Releases what model hosts hold for a request: its prefilled state and its reserved decode slot."""
 
 from __future__ import annotations
 
@@ -14,40 +14,41 @@
 from violetstack.protocol.http_client import InvalidResponseError
 
 HOST_TIMEOUT_S = 0.3
-"""For one host to answer."""
+"""Time limit for the response of one host."""
 RELEASE_TIMEOUT_S = 5.0
-"""Longer than the rule allows, since the state is still there after that."""
+"""Limit for a whole release: longer than is allowed for one, because the state is still held after that."""
 NEXT_HOST_DELAY_S = 0.05
-"""Without an answer by then, another host is asked beside it; one that runs answers within milliseconds."""
+"""Time to wait for one host before the next is called, too; a working host answers within milliseconds."""
 NEXT_ROUND_DELAY_S = 0.1
-"""Once every host was asked, until they are asked again: bounds the calls while none can be reached."""
+"""Delay after all hosts were called, before they are called again; limits calls while none is reachable."""
 MAX_WAIT_FOR_RELEASE_S = 0.1
-"""A further attempt waits this long for the release of what the one before has left."""
+"""A further attempt waits at most this long for the release of what the previous attempt left held."""
 
 
 class StateReleaser:
-    """Carries out the core's release calls. Any host takes one, whoever holds the state."""
+    """Makes the core's release calls. Any host accepts one, whichever host holds the state."""
 
     def __init__(self, core: Dispatcher, pool: ConnectionPool) -> None:
         self._core = core
         self._pool = pool
         self._running: dict[ReleaseCall, trio.Event] = {}
-        """Set once the release is through, or over."""
+        """For each call under way, an event that is set once a host has accepted it or it has ended."""
 
     def register(self, call: ReleaseCall) -> None:
-        """From now on `wait_for` waits for this call; `run` follows."""
+        """Makes `wait_for` wait for this call from now on; must be called before `run`."""
         self._running[call] = trio.Event()
 
     async def wait_for(self, request: OpenRequest) -> None:
-        """Returns once no release of the request is under way, or after `MAX_SEND_DELAY_S`."""
+        """Returns once no release of the request is under way, or after `MAX_WAIT_FOR_RELEASE_S`."""
         with trio.move_on_after(MAX_WAIT_FOR_RELEASE_S):
             while (call := request.release) is not None and not call.superseded:
                 await self._running[call].wait()
 
     async def run(self, call: ReleaseCall) -> None:
-        """Asks one host after the other, each beside those that have not answered yet.
+        """Calls one host after another; earlier calls that are not answered yet go on meanwhile.
 
-        Ends when one has taken it, when a further attempt has made it pointless, or after `GIVE_UP_S`.
+        Ends when a host has accepted the release, when a further attempt has superseded it, or after
+        `RELEASE_TIMEOUT_S`.
         """
         finished = self._running[call]
         deadline = trio.current_time() + RELEASE_TIMEOUT_S
@@ -86,21 +87,23 @@
                         finished.set()
         except (NotConnectedError, OSError, InvalidResponseError):
             pass
-        except Exception as error:  # no call's failure may end the program
+        except Exception as error:  # a failed call must not end the process
             log("release_failed", id=call.request.id, error=repr(error))
         finally:
             call_ended.set()
 
     def _accepted(self, call: ReleaseCall, server: str) -> None:
-        """The core hears of it before an attempt that waits for the release is written, and supersedes it."""
+        """Reports success to the core before a waiting attempt is sent, which would supersede the release."""
         now = now_ms()
         log_rate_limited("release_taken", id=call.request.id, server=server, ms=round(now - call.started_at))
         self._core.release_finished(now, call, True)
 
     def _best_host(self, request: OpenRequest, tried: set[str]) -> str | None:
-        """The one most likely to answer: not silent so far, not draining, idle connection, heard last.
+        """The host most likely to answer; None if all were tried.
 
-        A connection that rests after a response is none: a new one would be opened beside it.
+        Prefers, in this order, hosts that have not failed to answer this request, are not draining, have an
+        idle connection, and have answered any request most recently. An idle connection whose delay before
+        reuse is not over does not count, because a new one would be opened beside it.
         """
         silent = request.unresponsive_hosts()
         names = [
--- a/violetstack/net/upstream/stream_trailer.py
+++ b/violetstack/net/upstream/stream_trailer.py
@@ -1,4 +1,4 @@
-"""What the last events of a stream say besides the answer: its usage, a load report, its regular end."""
+"""Data at the end of a stream besides the answer: token usage, a load report and the `[DONE]` marker."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from violetstack.protocol.json_errors import DECODE_ERRORS
 
 LoadReport = tuple[float | None, ...] | None
-"""Values in the order of the settings' report fields; None where there is no report."""
+"""Values in the order of the settings' report fields; None if there is no report."""
 
 
 class _PromptTokensDetails(msgspec.Struct):
@@ -31,17 +31,17 @@
 
 
 class StreamTrailer:
-    """Collects from the events of one stream as they pass."""
+    """Collects this data from the events of one stream while they are forwarded."""
 
     def __init__(self, report_fields: tuple[str, ...], cached_tokens: int = 0) -> None:
         self._report_fields = report_fields
         self.cached_tokens = cached_tokens
         self.done = False
-        """`[DONE]` has come."""
+        """Whether `[DONE]` has been received."""
         self.load_report: LoadReport = None
 
     def read(self, event: memoryview) -> None:
-        """Looks at one event; what cannot be read is ignored."""
+        """Reads one event; parts that cannot be parsed are ignored."""
         raw = bytes(event)
         if b"[DONE]" in raw and sse.payload(event).strip() == b"[DONE]":
             self.done = True
@@ -66,7 +66,7 @@
 
 
 def is_error_event(event: memoryview) -> bool:
-    """Whether an OpenAI-style host reports an error within its stream."""
+    """Whether an OpenAI-style host reports an error in this event of its stream."""
     if b'"error"' not in bytes(event):
         return False
     try:
@@ -76,7 +76,7 @@
 
 
 def cached_tokens_of(body: bytes) -> int:
-    """The count of cached prompt tokens in a prefill host's 202; 0 if it cannot be read."""
+    """The number of cached prompt tokens in the body of a prefill host's 202; 0 if it cannot be parsed."""
     try:
         return msgspec.json.decode(body, type=_PromptTokensDetails).cached_tokens
     except DECODE_ERRORS:
