--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -14,11 +14,11 @@
 from tests.router_harness import SETTINGS
 from violetstack.core.ports import Origin
 from violetstack.policy_api import Endpoint, EndpointState, EndpointUpdate, Request, UpdateScope
-from violetstack.routing.conditions import All, Among, Between, Condition, Not
-from violetstack.routing.generations import Plan, Routing
+from violetstack.routing.conditions import AllOf, Condition, InRange, Not, OneOf
+from violetstack.routing.generations import Routing, RoutingPlan
 from violetstack.routing.policies import Policy
 from violetstack.routing.pools import PoolSpec
-from violetstack.routing.table import Asked, Route, Table
+from violetstack.routing.table import RequestAttributes, Route, Table
 
 SIZES = (10, 100, 1_000, 10_000)
 CLASSES = [f"class-{n}" for n in range(6)]
@@ -29,23 +29,23 @@
     """Most name a tenant, some a class, a model or a length; a few exclude; one has the rest."""
     rows = []
     for n in range(count - 1):
-        parts: list[Condition] = [Among("tenant", frozenset({f"tenant-{rng.randrange(count)}"}))]
+        parts: list[Condition] = [OneOf("tenant", frozenset({f"tenant-{rng.randrange(count)}"}))]
         if rng.random() < 0.5:
-            parts.append(Among("class", frozenset(rng.sample(CLASSES, 2))))
+            parts.append(OneOf("class", frozenset(rng.sample(CLASSES, 2))))
         if rng.random() < 0.3:
-            parts.append(Among("model", frozenset({rng.choice(MODELS)})))
+            parts.append(OneOf("model", frozenset({rng.choice(MODELS)})))
         if rng.random() < 0.3:
             low = rng.randrange(0, 20_000)
-            parts.append(Between("prompt", low, low + rng.randrange(1, 20_000)))
+            parts.append(InRange("prompt", low, low + rng.randrange(1, 20_000)))
         if rng.random() < 0.01:
-            parts = [Not(parts[0]), *parts[1:], Between("prompt", 50_000 + n, 50_001 + n)]
-        rows.append(Route(f"route-{n}", All(tuple(parts))))
+            parts = [Not(parts[0]), *parts[1:], InRange("prompt", 50_000 + n, 50_001 + n)]
+        rows.append(Route(f"route-{n}", AllOf(tuple(parts))))
     return [*rows, Route("rest")]
 
 
-def requests(count: int, rng: random.Random) -> list[Asked]:
+def requests(count: int, rng: random.Random) -> list[RequestAttributes]:
     return [
-        Asked(
+        RequestAttributes(
             rng.choice(CLASSES),
             f"tenant-{rng.randrange(count)}",
             rng.choice(MODELS),
@@ -57,7 +57,9 @@
     ]
 
 
-def each_us(act: Callable[[Asked], object], asked: list[Asked], least_s: float = 0.3) -> float:
+def each_us(
+    act: Callable[[RequestAttributes], object], asked: list[RequestAttributes], least_s: float = 0.3
+) -> float:
     """Microseconds of one call, the best of three rounds."""
     best = float("inf")
     for _ in range(3):
@@ -82,9 +84,9 @@
         built = (time.perf_counter() - started) * 1e3
         asked = requests(count, rng)
         few = asked if count < 10_000 else asked[:50]
-        assert all(table.find(each) == table.walk(each) for each in few)
+        assert all(table.find(each) == table.find_linear(each) for each in few)
         index = each_us(table.find, asked)
-        walk = each_us(table.walk, few)
+        walk = each_us(table.find_linear, few)
         first = first or index
         print(
             f"{count:6} {built:12.1f} {index:10.2f} {walk:10.1f} {walk / index:12.1f} {index / first:12.2f}"
@@ -95,8 +97,10 @@
     """From a front's request to its course, the module's questions for 11 hosts, and the end."""
     rows = (*routes(999, random.Random(1)), Route("all", pool="near", policy="usual"))
     rows = tuple(row for row in rows if row.name != "rest")
-    near = PoolSpec("near", Among("cell", frozenset({"0"})), 1, ("far",))
-    plan = Plan(rows, {"near": near, "far": PoolSpec("far")}, {"usual": Policy("usual", 9_000.0, 4, 0.2)})
+    near = PoolSpec("near", OneOf("cell", frozenset({"0"})), 1, ("far",))
+    plan = RoutingPlan(
+        rows, {"near": near, "far": PoolSpec("far")}, {"usual": Policy("usual", 9_000.0, 4, 0.2)}
+    )
     routing = Routing(
         plan,
         SETTINGS,
@@ -111,7 +115,7 @@
     request = Request("q", 0, 0, "s", 5000.0, None, None, 3000.0, 0.0, 200.0, False, False)
     origin = Origin("chat", "model-3", 4_000)
 
-    def routed(_: Asked) -> None:
+    def routed(_: RequestAttributes) -> None:
         request.route = None
         asked = routing.route(request, origin)
         routing.request_accepted(1.0, asked)
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -10,13 +10,13 @@
 
 from hypothesis import strategies as st
 
-from violetstack.routing.table import Asked
+from violetstack.routing.table import RequestAttributes
 
 CLASSES = ("consulta", "orden")
 TENANTS = ("red-kioscos", "mesa-agentes")
 MODELS = ("giro-consulta", "giro-orden")
 ASKED = [
-    Asked(cls, tenant, model, front, prompt, retry)
+    RequestAttributes(cls, tenant, model, front, prompt, retry)
     for cls, tenant, model, front, prompt, retry in product(
         (*CLASSES, "other"),
         TENANTS,
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -17,14 +17,14 @@
 from violetstack.language.checker import Checked, check, universe
 from violetstack.language.compiling import compile_file, load
 from violetstack.language.converting import CantConvert, convert
-from violetstack.language.difference import asked_of, difference, replayed, rerouted, same_hosts, tables
+from violetstack.language.difference import attributes_of, difference, replayed, rerouted, same_hosts, tables
 from violetstack.language.files import Unreadable, read, read_text
 from violetstack.language.grammar import GRAMMAR
 from violetstack.language.layout import CantLayOut, layout
 from violetstack.language.meaning import Meaning
 from violetstack.language.units import UNITS, base, canonical
 from violetstack.operator_config import OperatorConfigError
-from violetstack.routing.conditions import Among, Any, Not
+from violetstack.routing.conditions import AnyOf, Not, OneOf
 from violetstack.routing.table import Table
 
 MANY = settings(max_examples=60, suppress_health_check=[HealthCheck.too_slow])
@@ -247,7 +247,7 @@
     if a.meaning is None or b.meaning is None:
         return
     old, new = tables(a.meaning, b.meaning)
-    changed = any(old.walk(asked) != new.walk(asked) for asked in ASKED)
+    changed = any(old.find_linear(asked) != new.find_linear(asked) for asked in ASKED)
     if changed:
         assert rerouted(a.meaning, b.meaning)
     if not rerouted(a.meaning, b.meaning):
@@ -273,13 +273,13 @@
     old, new = tables(meaning(BASE), meaning(BASE.replace("8ktok", "6ktok")))
     counts, total, skipped = replayed(log, old, new)
     assert (counts.total(), total, skipped) == (1, 2, 2)
-    assert asked_of(b'{"event":"request","class":[1]}') is None
+    assert attributes_of(b'{"event":"request","class":[1]}') is None
 
 
 def test_host_conditions_compare_by_the_hosts_they_choose() -> None:
-    a = Among("zone", frozenset({"x"}))
-    b = Among("label", frozenset({"gpu"}))
-    assert same_hosts(Not(Any((a, b))), Not(Any((b, a))))
+    a = OneOf("zone", frozenset({"x"}))
+    b = OneOf("label", frozenset({"gpu"}))
+    assert same_hosts(Not(AnyOf((a, b))), Not(AnyOf((b, a))))
     assert not same_hosts(a, b)
 
 
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -155,7 +155,7 @@
         path.write_text(FILE.replace("pool = near }", "pool = far }"))
         reload(on, path)
         routing = on.daemon.routing
-        assert routing is not None and [g.open for g in routing.older] == [4]
+        assert routing is not None and [g.open_requests for g in routing.previous] == [4]
         assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "served"
         assert hosts[3].begun == ["q1"] and len(hosts[1].begun) == 4
         hold.set()
@@ -163,7 +163,7 @@
             assert (await call.receive()).outcome == "served"
         while on.daemon.core.open_requests:
             await trio.sleep(0.001)
-        assert routing.older == [] and routing.current.number == 2
+        assert routing.previous == [] and routing.current.number == 2
 
     play(*hosts, story=story, file=path)
 
@@ -208,7 +208,7 @@
             await call.receive(events=1)
             some(50)
         routing = on.daemon.routing
-        assert routing is not None and [g.open for g in routing.older] == [1] * 4
+        assert routing is not None and [g.open_requests for g in routing.previous] == [1] * 4
         tracemalloc.start()
         first = some(100)
         last = some(800)
@@ -219,7 +219,7 @@
             assert (await call.receive()).outcome == "served"
         while on.daemon.core.open_requests:
             await trio.sleep(0.001)
-        assert routing.older == []
+        assert routing.previous == []
 
     log.quiet = True
     try:
--- a/violetstack/commands/config.py
+++ b/violetstack/commands/config.py
@@ -199,19 +199,19 @@
     from violetstack.language.checker import universe  # noqa: PLC0415
     from violetstack.language.difference import tables  # noqa: PLC0415
     from violetstack.language.explaining import UnknownName, explained, tokens  # noqa: PLC0415
-    from violetstack.routing.table import Asked  # noqa: PLC0415
+    from violetstack.routing.table import RequestAttributes  # noqa: PLC0415
 
     known = _known(settings)
     meaning = _meaning(file, known)
     try:
         length = tokens(prompt)
-        asked = Asked(cls, tenant, model, front, length, retry)
+        attributes = RequestAttributes(cls, tenant, model, front, length, retry)
         table = tables(meaning, meaning, known)[0]
-        for line in explained(meaning, table, asked, universe(meaning.definitions, known or {})):
+        for line in explained(meaning, table, attributes, universe(meaning.definitions, known or {})):
             click.echo(line)
     except UnknownName as error:
         raise click.UsageError(str(error)) from None
-    sys.exit(CLEAN if table.find(asked) is not None or not meaning.plan.routes else FOUND)
+    sys.exit(CLEAN if table.find(attributes) is not None or not meaning.plan.routes else FOUND)
 
 
 @config.command()
--- a/violetstack/config.py
+++ b/violetstack/config.py
@@ -24,7 +24,7 @@
 
 if TYPE_CHECKING:
     from violetstack.load_shedding.levels import LevelPlan
-    from violetstack.routing.generations import Plan
+    from violetstack.routing.generations import RoutingPlan
 
 Address = tuple[str, int]
 MIN_SOCKETS = 48  # fewer leave nothing for clients and hosts after the program's own
@@ -82,7 +82,7 @@
         self,
         node: NodeConfig,
         operator: OperatorConfig | None = None,
-        routing_plan: Plan | None = None,
+        routing_plan: RoutingPlan | None = None,
         warnings: tuple[str, ...] = (),
         load_shedding_plan: LevelPlan | None = None,
     ) -> None:
--- a/violetstack/daemon/daemon.py
+++ b/violetstack/daemon/daemon.py
@@ -328,7 +328,7 @@
         if self.routing is None:
             self.routing = build_routing(self.config, self.core)
         elif self.config.routing_plan is not None:
-            self.routing.swap(now_ms(), self.config.routing_plan)
+            self.routing.replace_plan(now_ms(), self.config.routing_plan)
 
     def _apply_load_shedding_plan(self, plan: LevelPlan | None) -> None:
         """Starts load shedding with the plan, or replaces the plan in force."""
--- a/violetstack/language/checker.py
+++ b/violetstack/language/checker.py
@@ -26,19 +26,17 @@
 from violetstack.load_shedding.signal_conditions import SignalCondition, overlap, regions
 from violetstack.routing.conditions import (
     ALWAYS,
-    All,
-    Among,
+    AllOf,
+    AnyOf,
     Box,
     Condition,
     Not,
-    TooEntangled,
-    boxes,
+    OneOf,
+    TooManyBoxesError,
+    to_boxes,
 )
-from violetstack.routing.conditions import (
-    Any as AnyOf,
-)
-from violetstack.routing.generations import Plan
-from violetstack.routing.pools import cycle
+from violetstack.routing.generations import RoutingPlan
+from violetstack.routing.pools import fallback_cycle
 from violetstack.routing.regions import Partition
 from violetstack.routing.table import Table
 
@@ -106,7 +104,7 @@
     return Checked(run.problems[:MAX_PROBLEMS], meaning, reading.sources)
 
 
-def _plan(run: _Run) -> Plan:
+def _plan(run: _Run) -> RoutingPlan:
     return plan_of(run.definitions, _places(run))
 
 
@@ -381,7 +379,7 @@
     plan = _plan(run)
     told: set[str] = set()
     for name, each in run.of("pool").items():
-        ring = cycle(plan.pools, name)
+        ring = fallback_cycle(plan.pools, name)
         if ring is not None and not told.intersection(ring):
             told.update(ring)
             also = tuple((f"{n} falls back here", run.of("pool")[n].place("fallback")) for n in ring[1:-1])
@@ -412,7 +410,7 @@
             run.doubt(f"no route uses the policy {name!r}", each.span, f"policy = {name} in a route?")
 
 
-def _served(run: _Run, plan: Plan) -> None:
+def _served(run: _Run, plan: RoutingPlan) -> None:
     """Can every pool that a route names read and write, by the kinds and hosts that are declared?"""
     if not run.of("kind"):
         return
@@ -445,7 +443,7 @@
 def possible(condition: Condition, values: Mapping[str, Any]) -> frozenset[bool]:
     """What the condition can come to if only these values are known."""
     match condition:
-        case Among():
+        case OneOf():
             if condition.attribute not in values:
                 return frozenset({True, False})
             told = values[condition.attribute]
@@ -453,8 +451,8 @@
             return frozenset({not mine.isdisjoint(condition.values)})
         case Not():
             return frozenset(not each for each in possible(condition.part, values))
-        case All() | AnyOf():
-            stops = not isinstance(condition, All)  # the value that one part alone decides by
+        case AllOf() | AnyOf():
+            stops = not isinstance(condition, AllOf)  # the value that one part alone decides by
             parts = [possible(part, values) for part in condition.parts]
             found = set()
             if any(stops in part for part in parts):
@@ -474,7 +472,7 @@
     for each in routes.values():
         when = each.get("when", ALWAYS)
         try:
-            found.append(boxes(when))
+            found.append(to_boxes(when))
             if not found[-1] and "when" in each.values:
                 run.wrong(
                     f"no request can match the route {each.name!r}",
@@ -482,7 +480,7 @@
                     "its parts exclude each other",
                 )
                 each.values["when"] = None
-        except TooEntangled as error:
+        except TooManyBoxesError as error:
             run.wrong(
                 f"this condition is too entangled: {error}",
                 each.place("when"),
@@ -498,7 +496,7 @@
         return
     table = Partition(Table(_plan(run).routes, universe(run.definitions, run.known), found))
     rows = list(routes.values())
-    for lost, covers in table.covered().items():
+    for lost, covers in table.unreachable_routes().items():
         names = [rows[n].name for n in covers]
         listed = ", ".join(repr(name) for name in names[:3]) + (", ..." if len(names) > 3 else "")
         one = "takes" if len(names) == 1 else "take"
@@ -508,7 +506,7 @@
             "move it up, or remove it",
             *((f"route {rows[n].name!r}", rows[n].span) for n in covers[:3]),
         )
-    gap = table.gap() if run.sound else None
+    gap = table.find_gap() if run.sound else None
     if gap is not None:
         last = rows[-1]
         run.doubt(
--- a/violetstack/language/compiling.py
+++ b/violetstack/language/compiling.py
@@ -23,7 +23,7 @@
     TenantConfig,
     TlsFiles,
 )
-from violetstack.routing.generations import Plan
+from violetstack.routing.generations import RoutingPlan
 from violetstack.settings import (
     ClassMessage,
     LimitsMessage,
@@ -41,7 +41,7 @@
 @dataclass(frozen=True, slots=True)
 class Compiled:
     file: OperatorConfig
-    plan: Plan
+    plan: RoutingPlan
     levels: LevelPlan
 
 
--- a/violetstack/language/difference.py
+++ b/violetstack/language/difference.py
@@ -25,18 +25,16 @@
 from violetstack.load_shedding.signal_conditions import Conjunction, Disjunction, Threshold, describe
 from violetstack.routing.conditions import (
     HOST_ATTRIBUTES,
-    All,
-    Among,
+    AllOf,
+    AnyOf,
     Condition,
     Not,
+    OneOf,
+    format_condition,
     holds,
-    text,
 )
-from violetstack.routing.conditions import (
-    Any as AnyOf,
-)
-from violetstack.routing.regions import Moved, moved
-from violetstack.routing.table import Asked, Route, Table
+from violetstack.routing.regions import RoutingChange, routing_changes
+from violetstack.routing.table import RequestAttributes, Route, Table
 
 MAX_CASES = 20_000  # host attributes tried one by one; past it conditions compare as they are written
 SECRET = frozenset({"secret", "sha256", "bearer"})  # shown as changed, never shown
@@ -73,8 +71,8 @@
     return found
 
 
-def rerouted(old: Meaning, new: Meaning, known: Known | None = None) -> list[Moved]:
-    return moved(*tables(old, new, known))
+def rerouted(old: Meaning, new: Meaning, known: Known | None = None) -> list[RoutingChange]:
+    return routing_changes(*tables(old, new, known))
 
 
 def tables(old: Meaning, new: Meaning, known: Known | None = None) -> tuple[Table, Table]:
@@ -84,8 +82,8 @@
     )
 
 
-def _moved(each: Moved) -> str:
-    return f"{each.when}: {target(each.old)} -> {target(each.new)}"
+def _moved(each: RoutingChange) -> str:
+    return f"{each.condition}: {target(each.old)} -> {target(each.new)}"
 
 
 def target(route: Route | None) -> str:
@@ -114,7 +112,7 @@
 def default_of(spec: Field) -> Any:
     """The default's value; None where there is none."""
     if not spec.default or spec.required:
-        return All() if spec.form in (Form.HOSTS, Form.REQUESTS) else None
+        return AllOf() if spec.form in (Form.HOSTS, Form.REQUESTS) else None
     tree = parse(Source("default", f"{spec.name} = {spec.default}"))
     setting = tree.items[0]
     assert isinstance(setting, Setting)
@@ -129,8 +127,8 @@
     """A value as the layout would write it."""
     if value is None:
         return "none"
-    if isinstance(value, Among | All | AnyOf | Not):
-        return text(value)
+    if isinstance(value, OneOf | AllOf | AnyOf | Not):
+        return format_condition(value)
     if isinstance(value, Threshold | Conjunction | Disjunction):
         return describe(value)
     if isinstance(spec.form, Dimension):
@@ -172,11 +170,11 @@
 
 def _mentioned(condition: Condition, names: dict[str, set[str]]) -> None:
     match condition:
-        case Among():
+        case OneOf():
             names[condition.attribute].update(condition.values)
         case Not():
             _mentioned(condition.part, names)
-        case All() | AnyOf():
+        case AllOf() | AnyOf():
             for part in condition.parts:
                 _mentioned(part, names)
 
@@ -186,19 +184,19 @@
     found: Counter[tuple[str, str]] = Counter()
     total = skipped = 0
     for line in lines:
-        asked = asked_of(line)
-        if asked is None:
+        attributes = attributes_of(line)
+        if attributes is None:
             skipped += line.strip() != b""
             continue
         total += 1
-        a = target(old.find(asked))
-        b = target(new.find(asked))
+        a = target(old.find(attributes))
+        b = target(new.find(attributes))
         if a != b:
             found[a, b] += 1
     return found, total, skipped
 
 
-def asked_of(line: bytes) -> Asked | None:
+def attributes_of(line: bytes) -> RequestAttributes | None:
     """What a `request` line tells of a request; None for any other line."""
     try:
         told = json.loads(line)
@@ -211,4 +209,4 @@
     prompt = told.get("prompt", 0)
     if not all(isinstance(name, str) for name in names) or not isinstance(prompt, int):
         return None
-    return Asked(cls, tenant, model, front, prompt, bool(told.get("retry", False)))
+    return RequestAttributes(cls, tenant, model, front, prompt, bool(told.get("retry", False)))
--- a/violetstack/language/explaining.py
+++ b/violetstack/language/explaining.py
@@ -7,9 +7,9 @@
 from violetstack.language.meaning import Meaning
 from violetstack.language.source import nearest
 from violetstack.language.units import TOKENS, base, number
-from violetstack.routing.conditions import text
-from violetstack.routing.pools import chain
-from violetstack.routing.table import Asked, Table
+from violetstack.routing.conditions import format_condition
+from violetstack.routing.pools import fallback_chain
+from violetstack.routing.table import RequestAttributes, Table
 
 
 class UnknownName(Exception):
@@ -27,33 +27,36 @@
 
 
 def explained(
-    meaning: Meaning, table: Table, asked: Asked, universe: Mapping[str, frozenset[str]]
+    meaning: Meaning, table: Table, attributes: RequestAttributes, universe: Mapping[str, frozenset[str]]
 ) -> Iterator[str]:
     """Raises UnknownName for a class or tenant that can't be."""
-    for name, value in (("class", asked.cls), ("tenant", asked.tenant)):
+    for name, value in (("class", attributes.cls), ("tenant", attributes.tenant)):
         known = universe.get(name)
         if known and value not in known and (value or name == "class"):
             fix = nearest(value, sorted(known))
             raise UnknownName(
                 f"there is no {name} {value!r}; {fix or 'there are ' + ', '.join(sorted(known))}"
             )
-    route, passed = table.explain(asked)
+    route, passed = table.explain(attributes)
     for each, reasons in passed:
-        yield f"not {each.name} ({each.where}): {'; '.join(reasons)}"
+        yield f"not {each.name} ({each.location}): {'; '.join(reasons)}"
     if not table.routes:
         yield "there are no routes: every request may go to every host"
         return
     if route is None:
         yield "no route matches: refused at once, and no host hears of it"
         return
-    yield f"route {route.name} ({route.where}): {text(route.when)}"
+    yield f"route {route.name} ({route.location}): {format_condition(route.condition)}"
     plan = meaning.plan
     if route.pool:
-        order = chain(plan.pools, route.pool)
+        order = fallback_chain(plan.pools, route.pool)
         for n, name in enumerate(order):
             spec = plan.pools[name]
             what = "pool" if n == 0 else f"then, while {order[n - 1]} has too few members,"
-            yield f"{what} {name} ({spec.where}): {text(spec.members)}; at least {spec.least}"
+            yield (
+                f"{what} {name} ({spec.location}): "
+                f"{format_condition(spec.members)}; at least {spec.min_members}"
+            )
     else:
         yield "pool: all hosts"
     policy = plan.policies.get(route.policy)
@@ -63,10 +66,10 @@
     told = []
     if policy.deadline_ms is not None:
         told.append(f"deadline {policy.deadline_ms:g}ms")
-    if policy.attempts is not None:
-        told.append(f"attempts {policy.attempts}")
+    if policy.max_attempts is not None:
+        told.append(f"attempts {policy.max_attempts}")
     if policy.retry_share is not None:
         told.append(f"retries {policy.retry_share * 100:g}% and {policy.retry_floor:g} req/s")
-    if policy.body_bytes is not None:
-        told.append(f"body {policy.body_bytes}B")
-    yield f"policy {policy.name} ({policy.where}): {', '.join(told) or 'nothing beyond the settings'}"
+    if policy.max_body_bytes is not None:
+        told.append(f"body {policy.max_body_bytes}B")
+    yield f"policy {policy.name} ({policy.location}): {', '.join(told) or 'nothing beyond the settings'}"
--- a/violetstack/language/meaning.py
+++ b/violetstack/language/meaning.py
@@ -8,7 +8,7 @@
 from violetstack.language.source import Span
 from violetstack.load_shedding.levels import DemandLimit, LevelActions, LevelPlan, LevelSpec
 from violetstack.routing.conditions import ALWAYS
-from violetstack.routing.generations import Plan
+from violetstack.routing.generations import RoutingPlan
 from violetstack.routing.policies import Policy
 from violetstack.routing.pools import PoolSpec
 from violetstack.routing.table import Route
@@ -39,7 +39,7 @@
     """Definitions by kind and name, in the order of the files; a block without a name has the name ''."""
 
     definitions: Definitions
-    plan: Plan
+    plan: RoutingPlan
     levels: LevelPlan
 
     def of(self, kind: str) -> dict[str, Definition]:
@@ -49,7 +49,7 @@
         return self.of(kind).get(name)
 
 
-def plan_of(definitions: Definitions, where: dict[str, str]) -> Plan:
+def plan_of(definitions: Definitions, where: dict[str, str]) -> RoutingPlan:
     """Routes, pools and policies as the routing wants them. `where`: file:line of each route and pool."""
 
     def at(each: Definition) -> str:
@@ -87,7 +87,7 @@
         for d in definitions.get("host", {}).values()
         if d.get("labels")
     }
-    return Plan(tuple(routes), pools, policies, labels)
+    return RoutingPlan(tuple(routes), pools, policies, labels)
 
 
 def levels_of(definitions: Definitions, where: dict[str, str]) -> LevelPlan:
--- a/violetstack/language/values.py
+++ b/violetstack/language/values.py
@@ -43,17 +43,15 @@
 )
 from violetstack.routing.conditions import (
     HOST_ATTRIBUTES,
-    NEVER_ENDS,
     REQUEST_ATTRIBUTES,
+    UNBOUNDED,
     YES,
-    All,
-    Among,
-    Between,
+    AllOf,
+    AnyOf,
     Condition,
+    InRange,
     Not,
-)
-from violetstack.routing.conditions import (
-    Any as AnyOf,
+    OneOf,
 )
 
 PROMPT = Field("prompt", TOKENS, "length of a request's prompt")
@@ -258,15 +256,15 @@
         match told:
             case Junction():
                 parts = tuple(self.condition(part, attributes) for part in told.parts)
-                return All(parts) if told.word == "and" else AnyOf(parts)
+                return AllOf(parts) if told.word == "and" else AnyOf(parts)
             case Negation():
                 return Not(self.condition(told.part, attributes))
             case Comparison():
                 return self._relation(told, attributes)
             case Name(text="all"):
-                return All()
+                return AllOf()
             case Name(text="retry") if "retry" in attributes:
-                return Among("retry", frozenset({YES}), self.where(told.span))
+                return OneOf("retry", frozenset({YES}), self.where(told.span))
             case Name():
                 if told.text in attributes:
                     fix = f"write '{told.text} == ...'"
@@ -318,7 +316,7 @@
                 names.add(each.text)
             else:
                 raise Broken(Problem(f"{attribute} is compared with names, not {kind_of(each)}", part.span))
-        found: Condition = Among(attribute, frozenset(names), where)
+        found: Condition = OneOf(attribute, frozenset(names), where)
         return Not(found) if told.operator == "!=" else found
 
     # --- conditions on signals ---
@@ -366,7 +364,7 @@
             if low >= high:
                 fix = "the range holds its first value and not its last"
                 raise Broken(Problem("the range is empty", told.right.span, fix))
-            return Between("prompt", low, high, where)
+            return InRange("prompt", low, high, where)
         if told.operator == "in":
             raise Broken(Problem("prompt is in a range", told.right.span, "prompt in 1ktok .. 8ktok?"))
         at = self._tokens(told.right)
@@ -374,17 +372,17 @@
             raise Broken(Problem("a prompt has at least 0 tokens", told.right.span))
         match told.operator:
             case "<":
-                found: Condition = Between("prompt", 0, at, where)
+                found: Condition = InRange("prompt", 0, at, where)
             case "<=":
-                found = Between("prompt", 0, at + 1, where)
+                found = InRange("prompt", 0, at + 1, where)
             case ">":
-                found = Between("prompt", at + 1, NEVER_ENDS, where)
+                found = InRange("prompt", at + 1, UNBOUNDED, where)
             case ">=":
-                found = Between("prompt", at, NEVER_ENDS, where)
+                found = InRange("prompt", at, UNBOUNDED, where)
             case "==":
-                found = Between("prompt", at, at + 1, where)
+                found = InRange("prompt", at, at + 1, where)
             case _:
-                found = Not(Between("prompt", at, at + 1, where))
+                found = Not(InRange("prompt", at, at + 1, where))
         return found
 
 
--- a/violetstack/load_shedding/load_shedder.py
+++ b/violetstack/load_shedding/load_shedder.py
@@ -134,7 +134,7 @@
         if shed is not None:
             return shed
         if self._retry_budget is not None:
-            self._retry_budget.taken(now)
+            self._retry_budget.add_request(now)
         request.route = LimitedRoute(self, request.route)
         return None
 
@@ -157,7 +157,7 @@
 
     def take_retry(self, now: float) -> bool:
         """Takes one attempt from the level's retry budget; returns whether there was one."""
-        return self._retry_budget is None or self._retry_budget.spend(now)
+        return self._retry_budget is None or self._retry_budget.try_spend(now)
 
     # --- time ---
 
@@ -209,7 +209,7 @@
         if actions.retry_share is not None:
             self._retry_budget = RetryBudget(actions.retry_share, 0.0)
             if actions.retry_share == 0.0:
-                self._retry_budget.left = 0.0
+                self._retry_budget.balance = 0.0
         self.admission.tick(now)
 
     # --- for operators ---
--- a/violetstack/rehearsal/stage.py
+++ b/violetstack/rehearsal/stage.py
@@ -17,7 +17,7 @@
 from violetstack.operator_config import OperatorConfig
 from violetstack.rehearsal.discovery import Discovery
 from violetstack.rehearsal.hosts import ModelHost
-from violetstack.routing.generations import Plan
+from violetstack.routing.generations import RoutingPlan
 
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -72,7 +72,7 @@
     nursery: trio.Nursery
     told: dict[str, Any]
     chat_file: OperatorConfig
-    plan: Plan | None
+    plan: RoutingPlan | None
     admin: Address
 
     def config(self, **changes: Any) -> Config:
--- a/violetstack/routing/conditions.py
+++ b/violetstack/routing/conditions.py
@@ -1,9 +1,9 @@
-"""Conditions on requests and hosts: what they mean, why one does not hold, and the boxes they cover.
+"""Conditions on requests and hosts: their evaluation, why one does not hold, and the boxes that they cover.
 
-A condition is a tree of `Among`, `Between`, `All`, `Any` and `Not`. Over requests it covers a region of
-six attributes, five of them finite sets and one (`prompt`) a half-open interval of tokens. `boxes` turns
-the tree into a union of boxes; the index, the checker and `config diff` work on those alone, so that what
-they say follows from what a condition means and not from how it is written.
+A condition is a tree of `OneOf`, `InRange`, `AllOf`, `AnyOf` and `Not`. A condition on requests covers a
+region in six dimensions: five categorical attributes, and the prompt's length as a half-open interval of
+tokens. `to_boxes` converts the tree to a union of boxes. The index, the checker and `config diff` use the
+boxes alone, so that their results depend on what a condition means and not on how it is written.
 """
 
 from __future__ import annotations
@@ -11,221 +11,253 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-FINITE = ("class", "tenant", "model", "front", "retry")  # the order of the index's levels
+CATEGORICAL_ATTRIBUTES = ("class", "tenant", "model", "front", "retry")  # in the order of the index's levels
 PROMPT = "prompt"
-REQUEST_ATTRIBUTES = (*FINITE, PROMPT)
+REQUEST_ATTRIBUTES = (*CATEGORICAL_ATTRIBUTES, PROMPT)
 HOST_ATTRIBUTES = ("kind", "zone", "cell", "label", "host")
 YES = "yes"
 NO = "no"
-CLOSED: dict[str, frozenset[str]] = {"front": frozenset({"platform", "chat"}), "retry": frozenset({YES, NO})}
-NEVER_ENDS = 1 << 62  # tokens; the open end of an interval
-MAX_BOXES = 256  # of one condition; guards the index against conditions that multiply out
+CLOSED_NAMES: dict[str, frozenset[str]] = {
+    "front": frozenset({"platform", "chat"}),
+    "retry": frozenset({YES, NO}),
+}
+UNBOUNDED = 1 << 62  # tokens; upper end of an interval without a limit
+MAX_BOXES = 256  # of one condition; bounds the size of the index
 
 Values = Mapping[str, "str | int | frozenset[str]"]
 
 
-class TooEntangled(Exception):
-    """A condition multiplies out into more than MAX_BOXES boxes."""
+class TooManyBoxesError(Exception):
+    """A condition expands to more than MAX_BOXES boxes."""
 
 
 @dataclass(frozen=True, slots=True)
-class Among:
-    """The attribute is one of the values; a label condition holds if any label of the host is."""
+class OneOf:
+    """Holds if the attribute is one of the values; for labels, if any label of the host is one of them."""
 
     attribute: str
     values: frozenset[str]
-    where: str = field(default="", compare=False)
+    location: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
-class Between:
-    """`low <= attribute < high`, in tokens."""
+class InRange:
+    """Holds if `low <= attribute < high`, in tokens."""
 
     attribute: str
     low: int
-    high: int = NEVER_ENDS
-    where: str = field(default="", compare=False)
+    high: int = UNBOUNDED
+    location: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
-class All:
-    """Every part holds; with no parts, always."""
+class AllOf:
+    """Holds if every part holds, and always without parts."""
 
     parts: tuple[Condition, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Any:
+class AnyOf:
+    """Holds if at least one part holds."""
+
     parts: tuple[Condition, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Not:
+    """Holds if the part does not."""
+
     part: Condition
 
 
-Condition = Among | Between | All | Any | Not
-ALWAYS = All()
+Condition = OneOf | InRange | AllOf | AnyOf | Not
+ALWAYS = AllOf()
 
 
 def holds(condition: Condition, values: Values) -> bool:
-    """The plain meaning, which the index must agree with."""
+    """Evaluates the condition; the index must give the same result."""
     match condition:
-        case Among():
+        case OneOf():
             value = values.get(condition.attribute, "")
             if isinstance(value, frozenset):
                 return not value.isdisjoint(condition.values)
             return str(value) in condition.values
-        case Between():
-            told = values.get(condition.attribute, 0)
-            return isinstance(told, int) and condition.low <= told < condition.high
-        case All():
+        case InRange():
+            tokens = values.get(condition.attribute, 0)
+            return isinstance(tokens, int) and condition.low <= tokens < condition.high
+        case AllOf():
             return all(holds(part, values) for part in condition.parts)
-        case Any():
+        case AnyOf():
             return any(holds(part, values) for part in condition.parts)
         case Not():
             return not holds(condition.part, values)
 
 
-def text(condition: Condition) -> str:
-    """As it would be written in a file, in the one canonical form."""
+def format_condition(condition: Condition) -> str:
+    """Returns the condition as it would be written in a file, in canonical form."""
     match condition:
-        case Among():
+        case OneOf():
             names = sorted(condition.values)
             if condition.attribute == "retry":
                 return "retry" if names == [YES] else "not retry"
             if len(names) == 1:
                 return f"{condition.attribute} == {names[0]}"
             return f"{condition.attribute} in {{{', '.join(names)}}}"
-        case Between():
-            if condition.high == NEVER_ENDS:
+        case InRange():
+            if condition.high == UNBOUNDED:
                 return f"{condition.attribute} >= {condition.low} tok"
             if condition.low == 0:
                 return f"{condition.attribute} < {condition.high} tok"
             return f"{condition.attribute} in {condition.low} tok .. {condition.high} tok"
-        case All():
-            return " and ".join(_inner(part) for part in condition.parts) or "always"
-        case Any():
-            return " or ".join(_inner(part) for part in condition.parts)
+        case AllOf():
+            return " and ".join(_format_part(part) for part in condition.parts) or "always"
+        case AnyOf():
+            return " or ".join(_format_part(part) for part in condition.parts)
         case Not():
-            return f"not {_inner(condition.part)}"
+            return f"not {_format_part(condition.part)}"
 
 
-def _inner(part: Condition) -> str:
-    return f"({text(part)})" if isinstance(part, All | Any) else text(part)
+def _format_part(part: Condition) -> str:
+    return f"({format_condition(part)})" if isinstance(part, AllOf | AnyOf) else format_condition(part)
 
 
-def why_not(condition: Condition, values: Values) -> list[str]:
-    """What keeps the condition from holding, each as a sentence with its place; empty if it holds."""
+def explain_mismatch(condition: Condition, values: Values) -> list[str]:
+    """Returns why the condition does not hold, each reason with its location; empty if it holds."""
     if holds(condition, values):
         return []
     match condition:
-        case Among() | Between():
-            mine = values.get(condition.attribute, "")
-            shown = ", ".join(sorted(mine)) if isinstance(mine, frozenset) else str(mine)
-            at = f" ({condition.where})" if condition.where else ""
-            return [f"{condition.attribute} is {shown or 'none'}, not {text(condition)}{at}"]
-        case All():
-            return next(told for part in condition.parts if (told := why_not(part, values)))
-        case Any():
-            return [line for part in condition.parts for line in why_not(part, values)]
+        case OneOf() | InRange():
+            actual = values.get(condition.attribute, "")
+            actual_text = ", ".join(sorted(actual)) if isinstance(actual, frozenset) else str(actual)
+            at = f" ({condition.location})" if condition.location else ""
+            return [
+                f"{condition.attribute} is {actual_text or 'none'}, not {format_condition(condition)}{at}"
+            ]
+        case AllOf():
+            return next(reasons for part in condition.parts if (reasons := explain_mismatch(part, values)))
+        case AnyOf():
+            return [reason for part in condition.parts for reason in explain_mismatch(part, values)]
         case Not():
-            return [f"{text(condition.part)} holds, and must not"]
+            return [f"{format_condition(condition.part)} holds, and must not"]
 
 
 # --- boxes ---
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
-    """A set of names, or (`out`) all names but these."""
+class NameSet:
+    """A set of names or, if `excluded`, all names except these."""
 
     names: frozenset[str] = frozenset()
-    out: bool = True
+    excluded: bool = True
 
-    def meet(self, other: Choice) -> Choice:
-        if self.out and other.out:
-            return Choice(self.names | other.names, True)
-        if not self.out and not other.out:
-            return Choice(self.names & other.names, False)
-        inside, outside = (other, self) if self.out else (self, other)
-        return Choice(inside.names - outside.names, False)
+    def intersect(self, other: NameSet) -> NameSet:
+        """Returns the names that are in both sets."""
+        if self.excluded and other.excluded:
+            return NameSet(self.names | other.names, True)
+        if not self.excluded and not other.excluded:
+            return NameSet(self.names & other.names, False)
+        inside, outside = (other, self) if self.excluded else (self, other)
+        return NameSet(inside.names - outside.names, False)
 
     @property
-    def empty(self) -> bool:
-        return not self.out and not self.names
+    def is_empty(self) -> bool:
+        """Returns whether no name is in the set."""
+        return not self.excluded and not self.names
 
     @property
-    def whole(self) -> bool:
-        return self.out and not self.names
+    def is_universal(self) -> bool:
+        """Returns whether every name is in the set."""
+        return self.excluded and not self.names
 
 
-WHOLE = Choice()
+ANY_NAME = NameSet()
 
 
 @dataclass(frozen=True, slots=True)
 class Box:
-    """One choice for each of FINITE, and an interval of prompt tokens."""
+    """A set of names for each of CATEGORICAL_ATTRIBUTES, and an interval of prompt tokens."""
 
-    choices: tuple[Choice, ...] = (WHOLE,) * len(FINITE)
+    name_sets: tuple[NameSet, ...] = (ANY_NAME,) * len(CATEGORICAL_ATTRIBUTES)
     low: int = 0
-    high: int = NEVER_ENDS
+    high: int = UNBOUNDED
 
-    def meet(self, other: Box) -> Box | None:
+    def intersect(self, other: Box) -> Box | None:
+        """Returns the box that both cover, or None if they are disjoint."""
         low = max(self.low, other.low)
         high = min(self.high, other.high)
         if low >= high:
             return None
-        choices = tuple(a.meet(b) for a, b in zip(self.choices, other.choices, strict=True))
-        return None if any(choice.empty for choice in choices) else Box(choices, low, high)
+        name_sets = tuple(a.intersect(b) for a, b in zip(self.name_sets, other.name_sets, strict=True))
+        return None if any(name_set.is_empty for name_set in name_sets) else Box(name_sets, low, high)
 
-    def holds(self, finite: tuple[str, ...], prompt: int) -> bool:
-        if not self.low <= prompt < self.high:
+    def contains(self, categorical: tuple[str, ...], prompt_tokens: int) -> bool:
+        """Returns whether the box covers a request with these attributes."""
+        if not self.low <= prompt_tokens < self.high:
             return False
-        return all((name in c.names) != c.out for name, c in zip(finite, self.choices, strict=True))
+        return all(
+            (name in name_set.names) != name_set.excluded
+            for name, name_set in zip(categorical, self.name_sets, strict=True)
+        )
+
+    def matches_all_from(self, level: int) -> bool:
+        """Returns whether every request that reached this level of the index is in the box."""
+        any_length = self.low == 0 and self.high == UNBOUNDED
+        return any_length and all(name_set.is_universal for name_set in self.name_sets[level:])
 
-    def whole_from(self, level: int) -> bool:
-        """Does everything match that has come as far as this level of the index?"""
-        whole = self.low == 0 and self.high == NEVER_ENDS
-        return whole and all(choice.whole for choice in self.choices[level:])
 
+def to_boxes(condition: Condition) -> list[Box]:
+    """Returns boxes that together cover the same requests as the condition; they may overlap.
 
-def boxes(condition: Condition) -> list[Box]:
-    """A union of boxes that covers what the condition covers; they may overlap. Raises TooEntangled."""
-    return _boxes(condition, True)
+    Raises:
+        TooManyBoxesError: there would be more than MAX_BOXES.
+    """
+    return _to_boxes(condition, True)
 
 
-def _boxes(condition: Condition, wanted: bool) -> list[Box]:
+def _to_boxes(condition: Condition, expected: bool) -> list[Box]:
+    """Returns the boxes in which the condition holds or, if not `expected`, those in which it does not."""
     match condition:
-        case Among():
-            level = FINITE.index(condition.attribute)
+        case OneOf():
+            level = CATEGORICAL_ATTRIBUTES.index(condition.attribute)
             names = condition.values
-            out = not wanted
-            if condition.attribute in CLOSED and out:
-                names = CLOSED[condition.attribute] - names
-                out = False
-            choice = Choice(names, out)
-            row = tuple(choice if n == level else WHOLE for n in range(len(FINITE)))
-            return [] if choice.empty else [Box(row)]
-        case Between():
-            if wanted:
+            excluded = not expected
+            if condition.attribute in CLOSED_NAMES and excluded:
+                names = CLOSED_NAMES[condition.attribute] - names
+                excluded = False
+            name_set = NameSet(names, excluded)
+            name_sets = tuple(
+                name_set if index == level else ANY_NAME for index in range(len(CATEGORICAL_ATTRIBUTES))
+            )
+            return [] if name_set.is_empty else [Box(name_sets)]
+        case InRange():
+            if expected:
                 return [Box(low=condition.low, high=condition.high)] if condition.low < condition.high else []
             below = [Box(high=condition.low)] if condition.low > 0 else []
-            return below + ([Box(low=condition.high)] if condition.high < NEVER_ENDS else [])
+            return below + ([Box(low=condition.high)] if condition.high < UNBOUNDED else [])
         case Not():
-            return _boxes(condition.part, not wanted)
-        case All() | Any():
-            if isinstance(condition, All) is wanted:
-                met = [Box()]
+            return _to_boxes(condition.part, not expected)
+        case AllOf() | AnyOf():
+            if isinstance(condition, AllOf) is expected:
+                intersections = [Box()]
                 for part in condition.parts:
-                    theirs = _boxes(part, wanted)
-                    met = _bounded([m for a in met for b in theirs if (m := a.meet(b)) is not None])
-                return met
-            return _bounded([box for part in condition.parts for box in _boxes(part, wanted)])
-
-
-def _bounded(found: list[Box]) -> list[Box]:
+                    part_boxes = _to_boxes(part, expected)
+                    intersections = _deduplicated(
+                        [
+                            both
+                            for a in intersections
+                            for b in part_boxes
+                            if (both := a.intersect(b)) is not None
+                        ]
+                    )
+                return intersections
+            return _deduplicated([box for part in condition.parts for box in _to_boxes(part, expected)])
+
+
+def _deduplicated(found: list[Box]) -> list[Box]:
+    """Removes duplicates. Raises TooManyBoxesError if more than MAX_BOXES are left."""
     found = list(dict.fromkeys(found))
     if len(found) > MAX_BOXES:
-        raise TooEntangled(f"more than {MAX_BOXES} separate cases")
+        raise TooManyBoxesError(f"more than {MAX_BOXES} separate cases")
     return found
--- a/violetstack/routing/pools.py
+++ b/violetstack/routing/pools.py
@@ -1,16 +1,16 @@
-"""Pools of hosts: who is in one, whether it can be used, and which stands in for it.
+"""Pools of hosts: their members, whether a pool is usable, and which fallback replaces it.
 
-A pool can be used while it has at least `least` healthy members, among them one that reads and one that
-writes. States of a pool, and what moves it:
+A pool has enough members while at least `min_members` hosts are healthy, among them one that can prefill and
+one that can decode. The states of a pool and their transitions:
 
-    whole      too few members            -> lost, at once
-    lost       enough members             -> returning, since now
-    returning  too few members            -> lost
-    returning  enough for `hold` in a row -> whole
+    usable      too few members                        -> lost, at once
+    lost        enough members                         -> recovering
+    recovering  too few members                        -> lost
+    recovering  enough members for the recovery delay  -> usable
 
-`hold` is `return_after`, doubled for each loss in a row that came within a minute of a return, up to eight
-times, so that a pool that flaps is given less and less chance to take its traffic back only to drop it
-again. Before its first loss a pool is whole as soon as it has members enough: a start is not a return.
+The recovery delay is `return_after_ms`, doubled for each consecutive loss within a minute of a recovery, up
+to eight times, so that a flapping pool gets its traffic back less and less often. Before its first loss a
+pool is usable as soon as it has enough members, since a start is not a recovery.
 """
 
 from __future__ import annotations
@@ -27,180 +27,216 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolSpec:
+    """A pool as the operator's file defines it; `fallback` lists the pools that replace it, in order."""
+
     name: str
     members: Condition = ALWAYS
-    least: int = 1
+    min_members: int = 1
     fallback: tuple[str, ...] = ()
     return_after_ms: float = 5_000.0
-    where: str = field(default="", compare=False)
+    location: str = field(default="", compare=False)
 
 
 @dataclass(frozen=True, slots=True)
-class HostFacts:
-    """What the list or the operator's file tells of one host."""
+class HostAttributes:
+    """Attributes of a host from the endpoint list and the operator's file."""
 
     values: Values
-    reads: bool
-    writes: bool
+    can_prefill: bool
+    can_decode: bool
 
 
 @dataclass(slots=True)
 class PoolState:
+    """The members of a pool, and whether it is usable.
+
+    Attributes:
+        members: ids of its healthy hosts.
+        usable: whether requests are sent to it.
+        sufficient_since: since when it has had enough members; None while it has too few.
+        recovered_at: when it last became usable.
+        lost: whether it was ever lost.
+        consecutive_flaps: consecutive losses, each soon after a recovery.
+    """
+
     members: set[str] = field(default_factory=set)
     usable: bool = False
-    enough_since: float | None = None
-    back_at: float | None = None  # since when it is whole
-    lost: bool = False  # ever
-    flaps: int = 0  # losses in a row, each soon after a return
+    sufficient_since: float | None = None
+    recovered_at: float | None = None
+    lost: bool = False
+    consecutive_flaps: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """`lost` or `back`, for the log."""
+class PoolChange:
+    """A pool was lost or has recovered; `active_pool` is the pool that its requests go to now."""
 
     pool: str
     lost: bool
     members: int
-    instead: str
+    active_pool: str
 
 
-class PoolBook:
-    """All pools of a generation. `told` is called with every news of the list, `active` at each choice."""
+class PoolTracker:
+    """All pools of a generation.
+
+    `update_hosts` is called with each endpoint update, `active_pool` at each choice of a host.
+    """
 
     def __init__(self, specs: Mapping[str, PoolSpec]) -> None:
+        """Starts without hosts."""
         self.specs = specs
-        self.hosts: dict[str, HostFacts] = {}
+        self.hosts: dict[str, HostAttributes] = {}
         self.states = {name: PoolState() for name in specs}
-        self.chains = {name: chain(specs, name) for name in specs}
-        self.changes: list[Change] = []
+        self.fallback_chains = {name: fallback_chain(specs, name) for name in specs}
+        self.changes: list[PoolChange] = []
+
+    def inherit_state(self, old: PoolTracker, now: float) -> None:
+        """Takes over the hosts of the previous generation after a reload.
 
-    def take_over(self, old: PoolBook, now: float) -> None:
-        """A reload: a pool defined as before keeps its state, so that a new file makes none return early."""
+        A pool with an unchanged definition keeps its state, so that a reload does not end its recovery early.
+        """
         self.hosts = dict(old.hosts)
         for name, spec in self.specs.items():
             state = self.states[name]
             if old.specs.get(name) == spec:
-                was = old.states[name]
-                self.states[name] = replace(was, members=set(was.members))
+                previous = old.states[name]
+                self.states[name] = replace(previous, members=set(previous.members))
             else:
-                state.members = {s for s, f in self.hosts.items() if holds(spec.members, f.values)}
-                self._judge(name, now)
-
-    def told(self, now: float, here: Mapping[str, HostFacts], gone: Iterable[str], whole: bool) -> None:
-        """Healthy hosts and what is known of them; those that drain or are gone. `whole`: all there is."""
-        if whole:
+                state.members = {
+                    server
+                    for server, attributes in self.hosts.items()
+                    if holds(spec.members, attributes.values)
+                }
+                self._update_state(name, now)
+
+    def update_hosts(
+        self, now: float, healthy: Mapping[str, HostAttributes], removed: Iterable[str], is_complete: bool
+    ) -> None:
+        """Takes a change of the endpoint list.
+
+        Args:
+            now: milliseconds.
+            healthy: attributes of healthy hosts, by id.
+            removed: ids of hosts that drain or are no longer listed.
+            is_complete: `healthy` has all healthy hosts, not only those that changed.
+        """
+        if is_complete:
             self.hosts = {}
             for state in self.states.values():
                 state.members = set()
-        for server in gone:
+        for server in removed:
             self.hosts.pop(server, None)
             for state in self.states.values():
                 state.members.discard(server)
-        for server, facts in here.items():
-            if self.hosts.get(server) == facts:
+        for server, attributes in healthy.items():
+            if self.hosts.get(server) == attributes:
                 continue
-            self.hosts[server] = facts
+            self.hosts[server] = attributes
             for name, spec in self.specs.items():
                 members = self.states[name].members
-                if holds(spec.members, facts.values):
+                if holds(spec.members, attributes.values):
                     members.add(server)
                 else:
                     members.discard(server)
         for name in self.specs:
-            self._judge(name, now)
+            self._update_state(name, now)
 
-    def _enough(self, name: str) -> bool:
+    def _has_enough_members(self, name: str) -> bool:
         members = self.states[name].members
-        if len(members) < self.specs[name].least:
+        if len(members) < self.specs[name].min_members:
             return False
-        reads = any(self.hosts[s].reads for s in members)
-        return reads and any(self.hosts[s].writes for s in members)
+        can_prefill = any(self.hosts[server].can_prefill for server in members)
+        return can_prefill and any(self.hosts[server].can_decode for server in members)
 
-    def _judge(self, name: str, now: float) -> None:
+    def _update_state(self, name: str, now: float) -> None:
         state = self.states[name]
-        if not self._enough(name):
-            state.enough_since = None
+        if not self._has_enough_members(name):
+            state.sufficient_since = None
             if state.usable:
-                soon = state.lost and state.back_at is not None and now < state.back_at + FLAP_MS
-                state.flaps = state.flaps + 1 if soon else 0
+                is_flap = state.lost and state.recovered_at is not None and now < state.recovered_at + FLAP_MS
+                state.consecutive_flaps = state.consecutive_flaps + 1 if is_flap else 0
                 state.usable = False
                 state.lost = True
-                self.changes.append(Change(name, True, len(state.members), self.active(name, now)))
-        elif state.enough_since is None:
-            state.enough_since = now
+                self.changes.append(PoolChange(name, True, len(state.members), self.active_pool(name, now)))
+        elif state.sufficient_since is None:
+            state.sufficient_since = now
             if not state.lost:
                 state.usable = True
-                state.back_at = now
+                state.recovered_at = now
 
-    def hold_ms(self, name: str) -> float:
-        """How long it must stay whole before it takes its traffic back."""
-        return self.specs[name].return_after_ms * 2.0 ** min(MAX_DOUBLINGS, self.states[name].flaps)
+    def recovery_delay_ms(self, name: str) -> float:
+        """Returns for how long a lost pool must have enough members before it is usable again."""
+        return self.specs[name].return_after_ms * 2.0 ** min(
+            MAX_DOUBLINGS, self.states[name].consecutive_flaps
+        )
 
-    def usable(self, name: str, now: float) -> bool:
+    def is_usable(self, name: str, now: float) -> bool:
+        """Returns whether the pool is usable, and records its recovery once the recovery delay is over."""
         state = self.states[name]
-        if not state.usable and state.enough_since is not None:
-            if now < state.enough_since + self.hold_ms(name):
+        if not state.usable and state.sufficient_since is not None:
+            if now < state.sufficient_since + self.recovery_delay_ms(name):
                 return False
             state.usable = True
-            state.back_at = now
-            self.changes.append(Change(name, False, len(state.members), name))
+            state.recovered_at = now
+            self.changes.append(PoolChange(name, False, len(state.members), name))
         return state.usable
 
-    def active(self, name: str, now: float) -> str:
-        """The first of the pool and its fallbacks that can be used; else the first that has anyone at all."""
-        order = self.chains[name]
-        for each in order:
-            if self.usable(each, now):
-                return each
-        return next((each for each in order if self.states[each].members), name)
-
-
-def chain(specs: Mapping[str, PoolSpec], name: str) -> tuple[str, ...]:
-    """The pool, then its fallbacks in order, each followed by its own; every pool once."""
-    order: list[str] = []
-    ahead = [name]
-    while ahead:
-        each = ahead.pop()
-        if each in order or each not in specs:
+    def active_pool(self, name: str, now: float) -> str:
+        """Returns the first usable pool of its fallback chain; if there is none, the first with a member."""
+        chain = self.fallback_chains[name]
+        for pool_name in chain:
+            if self.is_usable(pool_name, now):
+                return pool_name
+        return next((pool_name for pool_name in chain if self.states[pool_name].members), name)
+
+
+def fallback_chain(specs: Mapping[str, PoolSpec], name: str) -> tuple[str, ...]:
+    """Returns the pool and its fallbacks in order, each followed by its own fallbacks; every pool once."""
+    chain: list[str] = []
+    pending = [name]
+    while pending:
+        pool_name = pending.pop()
+        if pool_name in chain or pool_name not in specs:
             continue
-        order.append(each)
-        ahead.extend(reversed(specs[each].fallback))
-    return tuple(order)
-
-
-def cycle(specs: Mapping[str, PoolSpec], name: str) -> list[str] | None:
-    """The way by which a pool falls back to itself, if it does."""
-    ahead: list[tuple[str, tuple[str, ...]]] = [(name, (name,))]
-    seen: set[str] = set()
-    while ahead:
-        each, path = ahead.pop()
-        for following in specs[each].fallback if each in specs else ():
-            if following == name:
+        chain.append(pool_name)
+        pending.extend(reversed(specs[pool_name].fallback))
+    return tuple(chain)
+
+
+def fallback_cycle(specs: Mapping[str, PoolSpec], name: str) -> list[str] | None:
+    """Returns the path by which a pool falls back to itself, or None."""
+    pending: list[tuple[str, tuple[str, ...]]] = [(name, (name,))]
+    visited: set[str] = set()
+    while pending:
+        pool_name, path = pending.pop()
+        for fallback_name in specs[pool_name].fallback if pool_name in specs else ():
+            if fallback_name == name:
                 return [*path, name]
-            if following not in seen:
-                seen.add(following)
-                ahead.append((following, (*path, following)))
+            if fallback_name not in visited:
+                visited.add(fallback_name)
+                pending.append((fallback_name, (*path, fallback_name)))
     return None
 
 
-def facts_of(
+def host_attributes(
     entry: Endpoint,
     roles: tuple[Role, ...],
     kinds: tuple[str, ...],
     zones: tuple[str, ...],
     labels: frozenset[str] = frozenset(),
-) -> HostFacts:
-    """A list entry in the words of the operator's file."""
+) -> HostAttributes:
+    """Returns a host's attributes with the names that the operator's file uses."""
 
-    def named(names: tuple[str, ...], index: int) -> str:
+    def name_of(names: tuple[str, ...], index: int) -> str:
         return names[index] if 0 <= index < len(names) else str(index)
 
     role = roles[entry.kind] if entry.kind < len(roles) else Role.MIXED
     values: Values = {
         "host": entry.server,
-        "kind": named(kinds, entry.kind),
-        "zone": named(zones, entry.zone),
+        "kind": name_of(kinds, entry.kind),
+        "zone": name_of(zones, entry.zone),
         "cell": str(entry.cell),
         "label": labels,
     }
-    return HostFacts(values, role is not Role.DECODE, role is not Role.PREFILL)
+    return HostAttributes(values, role is not Role.DECODE, role is not Role.PREFILL)
--- a/violetstack/routing/regions.py
+++ b/violetstack/routing/regions.py
@@ -1,8 +1,9 @@
-"""What a whole table covers: routes that never match, requests that none takes, what a new table moves.
+"""Analysis of whole tables: routes that never match, requests without a route, differences of two tables.
 
-`Partition` cuts all requests into regions, each with the one route that has it. It is for the checker and
-for `config diff`; its size can grow with routes times names, so it has a budget, past which a part is left
-undecided. Serving uses `Table`, which does not multiply anything out.
+`Partition` divides all requests into regions, each with the one route that matches there. The checker and
+`config diff` use it. Its size can grow with the number of routes times the number of names, so its
+construction has a limit, beyond which a part is left undecided. Requests are routed by `Table`, which does
+not expand the combinations.
 """
 
 from __future__ import annotations
@@ -11,23 +12,23 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from violetstack.routing.conditions import FINITE, NEVER_ENDS, Box
-from violetstack.routing.table import NONE, Route, Table, Universe, paint
+from violetstack.routing.conditions import CATEGORICAL_ATTRIBUTES, UNBOUNDED, Box
+from violetstack.routing.table import NO_MATCH, ClosedNames, Route, Table, lowest_rank_intervals
 
-MAX_WORK = 4_000_000  # entries placed while a partition is built
+MAX_WORK = 4_000_000  # entries stored while a partition is built
 
 
 @dataclass(frozen=True, slots=True)
 class Leaf:
-    """`winners[i]` has the prompts from `starts[i]` up to the next start; None where no route matches."""
+    """Prompt lengths from `starts[i]` up to the next start go to route `winners[i]`; None if none matches."""
 
     starts: tuple[int, ...]
     winners: tuple[int | None, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Plain:
-    """Too entangled for the budget: not decided."""
+class Undecided:
+    """A part that would exceed MAX_WORK: these ranks and boxes are not compared."""
 
     level: int
     entries: tuple[tuple[int, Box], ...]
@@ -35,183 +36,199 @@
 
 @dataclass(frozen=True, slots=True)
 class Branch:
+    """A node that branches by the value of the attribute with the index `level`."""
+
     level: int
     children: dict[str, Node]
-    rest: Node | None  # values that no route here names; None where there can be none
+    rest: Node | None  # all other values; None if there are none
 
 
-Node = Leaf | Branch | Plain
+Node = Leaf | Branch | Undecided
 
 
 class _Builder:
-    def __init__(self, found: list[tuple[int, Box]], universe: Universe) -> None:
-        self.found = found
-        self.universe = universe
+    """Builds the tree of a partition; equal subtrees are built once."""
+
+    def __init__(self, entries: list[tuple[int, Box]], closed_names: ClosedNames) -> None:
+        self.entries = entries
+        self.closed_names = closed_names
         self.work = 0
-        self.known: dict[tuple[int, tuple[int, ...]], Node] = {}
+        self.nodes: dict[tuple[int, tuple[int, ...]], Node] = {}
 
     def build(self, level: int, ids: list[int]) -> Node:
         for n, i in enumerate(ids):
-            if self.found[i][1].whole_from(level):
+            if self.entries[i][1].matches_all_from(level):
                 ids = ids[: n + 1]
                 break
-        while level < len(FINITE) and all(self.found[i][1].choices[level].whole for i in ids):
+        while level < len(CATEGORICAL_ATTRIBUTES) and all(
+            self.entries[i][1].name_sets[level].is_universal for i in ids
+        ):
             level += 1
         key = (level, tuple(ids))
-        if key not in self.known:
-            self.known[key] = self._leaf(ids) if level == len(FINITE) else self._branch(level, ids)
-        return self.known[key]
+        if key not in self.nodes:
+            self.nodes[key] = (
+                self._leaf(ids) if level == len(CATEGORICAL_ATTRIBUTES) else self._branch(level, ids)
+            )
+        return self.nodes[key]
 
     def _branch(self, level: int, ids: list[int]) -> Node:
-        choices = [self.found[i][1].choices[level] for i in ids]
-        named = dict.fromkeys(name for choice in choices for name in sorted(choice.names))
-        rows: dict[str, list[int]] = {name: [] for name in named}
-        others: list[int] = []
-        for i, choice in zip(ids, choices, strict=True):
-            if not choice.out:
-                for name in choice.names:
+        name_sets = [self.entries[i][1].name_sets[level] for i in ids]
+        names = dict.fromkeys(name for name_set in name_sets for name in sorted(name_set.names))
+        rows: dict[str, list[int]] = {name: [] for name in names}
+        unnamed: list[int] = []
+        for i, name_set in zip(ids, name_sets, strict=True):
+            if not name_set.excluded:
+                for name in name_set.names:
                     rows[name].append(i)
-                self.work += len(choice.names)
+                self.work += len(name_set.names)
                 continue
-            others.append(i)
+            unnamed.append(i)
             self.work += len(rows)
             if self.work > MAX_WORK:
-                return Plain(level, tuple(self.found[n] for n in ids))
+                return Undecided(level, tuple(self.entries[n] for n in ids))
             for name, row in rows.items():
-                if name not in choice.names:
+                if name not in name_set.names:
                     row.append(i)
         children = {name: self.build(level + 1, row) for name, row in rows.items()}
-        told = self.universe.get(FINITE[level])
-        rest = None if told is not None and told <= set(rows) else self.build(level + 1, others)
+        closed = self.closed_names.get(CATEGORICAL_ATTRIBUTES[level])
+        rest = None if closed is not None and closed <= set(rows) else self.build(level + 1, unnamed)
         return Branch(level, children, rest)
 
     def _leaf(self, ids: list[int]) -> Leaf:
-        starts, winners = paint([self.found[i] for i in ids])
-        return Leaf(starts, tuple(None if rank == NONE else rank for rank in winners))
+        starts, winners = lowest_rank_intervals([self.entries[i] for i in ids])
+        return Leaf(starts, tuple(None if rank == NO_MATCH else rank for rank in winners))
 
 
 class Partition:
-    """All regions of a table's routes. `universe` tells the closed sets of names."""
+    """The regions of a table's routes."""
 
     def __init__(self, table: Table) -> None:
         self.table = table
         self.routes = table.routes
-        self.universe = table.universe
+        self.closed_names = table.closed_names
         self.boxes = table.boxes
-        found = [(rank, box) for rank, row in enumerate(self.boxes) for box in row]
-        self.root = _Builder(found, self.universe).build(0, list(range(len(found))))
+        entries = [(rank, box) for rank, row in enumerate(self.boxes) for box in row]
+        self.root = _Builder(entries, self.closed_names).build(0, list(range(len(entries))))
 
     def _nodes(self) -> Iterator[Node]:
-        seen: set[int] = set()
-        ahead: list[Node] = [self.root]
-        while ahead:
-            node = ahead.pop()
-            if id(node) in seen:
+        visited: set[int] = set()
+        pending: list[Node] = [self.root]
+        while pending:
+            node = pending.pop()
+            if id(node) in visited:
                 continue
-            seen.add(id(node))
+            visited.add(id(node))
             yield node
             if isinstance(node, Branch):
-                ahead.extend(node.children.values())
-                ahead.extend([node.rest] if node.rest is not None else [])
+                pending.extend(node.children.values())
+                pending.extend([node.rest] if node.rest is not None else [])
 
-    def covered(self) -> dict[int, list[int]]:
-        """The routes that can never match, each with the earlier ones that take what it asks for."""
-        won: set[int | None] = set()
+    def unreachable_routes(self) -> dict[int, list[int]]:
+        """Returns the indices of routes that never match, each with the earlier routes that overlap it."""
+        matching: set[int | None] = set()
         for node in self._nodes():
             if isinstance(node, Leaf):
-                won.update(node.winners)
-            elif isinstance(node, Plain):
-                won.update(rank for rank, _ in node.entries)
-        lost = [n for n in range(len(self.routes)) if n not in won]
-        return {n: [m for m in range(n) if self._meets(m, n)] for n in lost}
-
-    def _meets(self, m: int, n: int) -> bool:
-        return any(a.meet(b) is not None for a in self.boxes[m] for b in self.boxes[n])
-
-    def gap(self) -> str | None:
-        """Requests that no route matches, as a condition; None if there are none."""
-        seen: set[int] = set()
+                matching.update(node.winners)
+            elif isinstance(node, Undecided):
+                matching.update(rank for rank, _ in node.entries)
+        unreachable = [index for index in range(len(self.routes)) if index not in matching]
+        return {
+            index: [earlier for earlier in range(index) if self._overlap(earlier, index)]
+            for index in unreachable
+        }
+
+    def _overlap(self, first: int, second: int) -> bool:
+        return any(a.intersect(b) is not None for a in self.boxes[first] for b in self.boxes[second])
+
+    def find_gap(self) -> str | None:
+        """Returns a condition on requests that no route matches, or None if every request has a route."""
+        visited: set[int] = set()
 
         def search(node: Node, path: tuple[str, ...]) -> str | None:
-            if id(node) in seen:
+            if id(node) in visited:
                 return None
-            seen.add(id(node))
+            visited.add(id(node))
             if isinstance(node, Leaf):
-                for n, winner in enumerate(node.winners):
+                for index, winner in enumerate(node.winners):
                     if winner is None:
-                        return " and ".join([*path, *_stretch(node, n)]) or "all requests"
+                        return " and ".join([*path, *_leaf_interval(node, index)]) or "all requests"
                 return None
-            if isinstance(node, Plain):
+            if isinstance(node, Undecided):
                 return None
-            name = FINITE[node.level]
+            name = CATEGORICAL_ATTRIBUTES[node.level]
             for value, child in node.children.items():
-                if (found := search(child, (*path, f"{name} == {value}"))) is not None:
-                    return found
+                if (gap := search(child, (*path, f"{name} == {value}"))) is not None:
+                    return gap
             if node.rest is None:
                 return None
-            return search(node.rest, (*path, _others(self, node.level, list(node.children))))
+            return search(node.rest, (*path, _other_names_condition(self, node.level, list(node.children))))
 
         return search(self.root, ())
 
 
-def _others(table: Table | Partition, level: int, named: list[str]) -> str:
-    """The values that are not named, as a condition; by name where there are few."""
-    name = FINITE[level]
-    left = sorted(table.universe.get(name, frozenset()) - set(named))
+def _other_names_condition(table: Table | Partition, level: int, names: list[str]) -> str:
+    """Returns the condition for all values but these; lists the others if they are known and few."""
+    name = CATEGORICAL_ATTRIBUTES[level]
+    left = sorted(table.closed_names.get(name, frozenset()) - set(names))
     if len(left) == 1:
         return f"{name} == {left[0]}"
     return f"{name} in {{{', '.join(left)}}}" if 0 < len(left) <= 5 else f"any other {name}"
 
 
-def _stretch(leaf: Leaf, n: int) -> list[str]:
-    return _interval(leaf.starts[n], leaf.starts[n + 1] if n + 1 < len(leaf.starts) else NEVER_ENDS)
+def _leaf_interval(leaf: Leaf, index: int) -> list[str]:
+    return _interval(
+        leaf.starts[index], leaf.starts[index + 1] if index + 1 < len(leaf.starts) else UNBOUNDED
+    )
 
 
 def _interval(low: int, high: int) -> list[str]:
     above = [f"prompt >= {low} tok"] if low else []
-    return above + ([f"prompt < {high} tok"] if high < NEVER_ENDS else [])
+    return above + ([f"prompt < {high} tok"] if high < UNBOUNDED else [])
 
 
-# --- what a new table changes ---
+# --- differences between two tables ---
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
-    """Requests that `when` describes went to `old` and now go to `new`; None where no route matches."""
+class RoutingChange:
+    """Requests for which `condition` holds went to `old` and now go to `new`; None if no route matches."""
 
-    when: str
+    condition: str
     old: Route | None
     new: Route | None
 
 
-MAX_MOVED = 200
+MAX_CHANGES = 200
+
 
+def routing_changes(before: Table, after: Table) -> list[RoutingChange]:
+    """Returns the requests that go elsewhere.
 
-def moved(before: Table, after: Table) -> list[Moved]:
-    """What goes elsewhere, from the two partitions alone: equal regions compare equal however written."""
+    Regions are compared, so that a different wording of the same condition is no change.
+    """
     old = Partition(before)
     new = Partition(after)
-    found: list[Moved] = []
-    same: set[tuple[int, int]] = set()
+    changes: list[RoutingChange] = []
+    unchanged: set[tuple[int, int]] = set()
 
-    def goes(table: Partition, rank: int | None) -> Route | None:
+    def route_of(table: Partition, rank: int | None) -> Route | None:
         return None if rank is None else table.routes[rank]
 
     def compare(a: Node | None, b: Node | None, path: tuple[str, ...]) -> None:
-        if a is None or b is None or (id(a), id(b)) in same or len(found) >= MAX_MOVED:
-            return  # a value that one side takes for impossible: a class or tenant that is gone or new
-        before = len(found)
+        if a is None or b is None or (id(a), id(b)) in unchanged or len(changes) >= MAX_CHANGES:
+            return  # one side has no such value: a class or tenant that was removed or added
+        count_before = len(changes)
         if isinstance(a, Leaf) and isinstance(b, Leaf):
             _leaves(a, b, path)
-        elif isinstance(a, Plain) or isinstance(b, Plain):
-            found.append(Moved(" and ".join([*path, "not decided: too many cases"]), None, None))
+        elif isinstance(a, Undecided) or isinstance(b, Undecided):
+            changes.append(RoutingChange(" and ".join([*path, "not decided: too many cases"]), None, None))
         else:
             _branches(a, b, path)
-        if len(found) == before:
-            same.add((id(a), id(b)))
+        if len(changes) == count_before:
+            unchanged.add((id(a), id(b)))
 
     def _branches(a: Node, b: Node, path: tuple[str, ...]) -> None:
-        level = min(n.level for n in (a, b) if isinstance(n, Branch))
+        level = min(node.level for node in (a, b) if isinstance(node, Branch))
         left = a if isinstance(a, Branch) and a.level == level else None
         right = b if isinstance(b, Branch) and b.level == level else None
         names = dict.fromkeys([*(left.children if left else ()), *(right.children if right else ())])
@@ -220,25 +237,27 @@
             x = left.children.get(name, left.rest) if left else a
             y = right.children.get(name, right.rest) if right else b
             groups.setdefault((id(x), id(y)), (x, y, []))[2].append(name)
-        attribute = FINITE[level]
+        attribute = CATEGORICAL_ATTRIBUTES[level]
         for x, y, values in groups.values():
-            is_one = f"{attribute} == {values[0]}"
-            told = is_one if len(values) == 1 else f"{attribute} in {{{', '.join(sorted(values))}}}"
-            compare(x, y, (*path, told))
-        others = _others(new, level, list(names))
+            one_value = f"{attribute} == {values[0]}"
+            condition = one_value if len(values) == 1 else f"{attribute} in {{{', '.join(sorted(values))}}}"
+            compare(x, y, (*path, condition))
+        others = _other_names_condition(new, level, list(names))
         compare(left.rest if left else a, right.rest if right else b, (*path, others))
 
     def _leaves(a: Leaf, b: Leaf, path: tuple[str, ...]) -> None:
-        edges = sorted({*a.starts, *b.starts})
-        for n, low in enumerate(edges):
-            x = goes(old, a.winners[bisect_right(a.starts, low) - 1])
-            y = goes(new, b.winners[bisect_right(b.starts, low) - 1])
+        boundaries = sorted({*a.starts, *b.starts})
+        for index, low in enumerate(boundaries):
+            x = route_of(old, a.winners[bisect_right(a.starts, low) - 1])
+            y = route_of(new, b.winners[bisect_right(b.starts, low) - 1])
             if _target(x) != _target(y):
-                high = edges[n + 1] if n + 1 < len(edges) else NEVER_ENDS
-                found.append(Moved(" and ".join([*path, *_interval(low, high)]) or "all requests", x, y))
+                high = boundaries[index + 1] if index + 1 < len(boundaries) else UNBOUNDED
+                changes.append(
+                    RoutingChange(" and ".join([*path, *_interval(low, high)]) or "all requests", x, y)
+                )
 
     compare(old.root, new.root, ())
-    return found
+    return changes
 
 
 def _target(route: Route | None) -> tuple[str, str, str] | None:
