--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,9 +2,9 @@
 
 from hypothesis import settings
 
-from violetstack.net.downstream.connection_life import ConnectionLife
+from violetstack.net.downstream.connection_lifecycle import ConnectionLifecycle
 
 settings.register_profile("one verdict", deadline=None, derandomize=True)
 settings.load_profile("one verdict")
 
-ConnectionLife.strict = True  # in service an event that a connection's state does not know is logged
+ConnectionLifecycle.strict = True  # in service an event that a connection's state does not know is logged
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -283,7 +283,7 @@
     rested = []
 
     async def rest(self: ConnectionReader, _connection: DownstreamConnection) -> None:
-        rested.append(self.rejections_in_a_row)
+        rested.append(self.consecutive_rejections)
 
     monkeypatch.setattr(ConnectionReader, "_delay_after_rejections", rest)
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from violetstack.net.downstream.closing import Close, CloseMonitor, CloseReason, Violation
-from violetstack.net.downstream.connection_life import ConnectionState
+from violetstack.net.downstream.connection_lifecycle import ConnectionState
 
 HARMLESS = Close(
     reason=CloseReason.SHUTDOWN_IDLE,
@@ -46,7 +46,7 @@
 def test_a_planted_fault_is_counted_and_logged_with_the_request(violation: Violation) -> None:
     lines = Lines()
     monitor = CloseMonitor(lines)
-    monitor.closed(PLANTED[violation])
+    monitor.record_close(PLANTED[violation])
     assert dict(monitor.violations) == {violation: 1}
     ((event, fields),) = lines.lines
     assert event == "client_connection_violation"
@@ -56,7 +56,7 @@
 def test_a_queue_that_is_closed_is_counted() -> None:
     lines = Lines()
     monitor = CloseMonitor(lines)
-    monitor.queue_closed("127.0.0.1:80")
+    monitor.record_queue_closed("127.0.0.1:80")
     assert dict(monitor.violations) == {Violation.QUEUE_CLOSED: 1}
     assert lines.lines[0][1]["listen"] == "127.0.0.1:80"
 
@@ -90,8 +90,8 @@
 def test_a_close_soon_after_a_response_is_logged_with_its_reason() -> None:
     lines = Lines()
     monitor = CloseMonitor(lines)
-    monitor.closed(HARMLESS)
-    monitor.closed(replace(HARMLESS, idle_ms=3))
+    monitor.record_close(HARMLESS)
+    monitor.record_close(replace(HARMLESS, idle_ms=3))
     assert [(event, fields["reason"], fields["idle_ms"]) for event, fields in lines.lines] == [
         ("client_connection_closed", "shutdown_idle", 3)
     ]
--- a/tests/test_connection_life.py
+++ b/tests/test_connection_life.py
@@ -17,10 +17,10 @@
 from tests.test_stories import pair
 from violetstack.daemon.shutdown_schedule import ShutdownSchedule
 from violetstack.net.downstream.connection import DownstreamConnection
-from violetstack.net.downstream.connection_life import (
+from violetstack.net.downstream.connection_lifecycle import (
     TRANSITIONS,
     ConnectionEvent,
-    ConnectionLife,
+    ConnectionLifecycle,
     ConnectionState,
     InvalidTransitionError,
 )
@@ -57,12 +57,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     lines: list[dict[str, Any]] = []
-    life = ConnectionLife(lambda event, **fields: lines.append({"event": event, **fields}))
+    lifecycle = ConnectionLifecycle(lambda event, **fields: lines.append({"event": event, **fields}))
     with pytest.raises(InvalidTransitionError, match="output_written in state unread"):
-        life.move(ConnectionEvent.OUTPUT_WRITTEN)
-    monkeypatch.setattr(ConnectionLife, "strict", False)
-    life.move(ConnectionEvent.OUTPUT_WRITTEN)
-    assert life.state is ConnectionState.UNREAD
+        lifecycle.apply(ConnectionEvent.OUTPUT_WRITTEN)
+    monkeypatch.setattr(ConnectionLifecycle, "strict", False)
+    lifecycle.apply(ConnectionEvent.OUTPUT_WRITTEN)
+    assert lifecycle.state is ConnectionState.UNREAD
     assert lines == [{"event": "connection_state_invalid", "state": "unread", "cause": "output_written"}]
 
 
@@ -187,7 +187,7 @@
         async with stage(reader, writer, settings=settings_with_timeout(15000.0)) as on:
             call = await BRING_INTO[state](on, hold)
             await until(lambda: len(on.daemon.listeners[0].table.connections) == 1)
-            await until(lambda: only_connection(on).life.state is state)
+            await until(lambda: only_connection(on).lifecycle.state is state)
             listener = on.daemon.listeners[0]
             stop_as_if_asked(on, STEPS[step])
             async with trio.open_nursery() as nursery:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -191,7 +191,7 @@
         late.up.set()
         await until(lambda: not on.daemon.core.open_requests)
         assert (reader.begun, writer.begun) == ([], [])
-        assert not connection.life.closed
+        assert not connection.lifecycle.closed
 
     play(reader, writer, story=story)
 
@@ -218,7 +218,7 @@
         call = await send_request(on, "q1")
         await until(lambda: reader.begun == ["q1"])
         await call.stream.send_all(b"x" * 3_000_000)
-        connection = next(iter(c for c in on.daemon.listeners[0].table.connections if c.life.answering))
+        connection = next(iter(c for c in on.daemon.listeners[0].table.connections if c.lifecycle.answering))
         assert connection.http.unread <= connection_reader.MAX_UNREAD_BYTES + connection_reader.READ_SIZE
         gate.set()
         assert (await call.receive()).outcome == "served"
--- a/tests/test_requests_are_answered.py
+++ b/tests/test_requests_are_answered.py
@@ -285,7 +285,7 @@
         gate.set()
         assert await client.receive_to_end() == [200]
         assert client.heard.endswith(b"\r\n0\r\n\r\n")
-        assert connection.life.closed or connection.has_unread()
+        assert connection.lifecycle.closed or connection.has_unread()
         assert reader.begun == ["q1"]
 
     play(reader, writer, story=story)
@@ -313,7 +313,7 @@
 
     async def story(on: Stage) -> None:
         listener = on.daemon.listeners[0]
-        listener.refusing = why == "refusing"
+        listener.rejecting_requests = why == "refusing"
         if why == "bodies full":
             listener.table.max_buffered_bytes = 0
         client = await RawClient.connect(on.platform)
@@ -415,12 +415,12 @@
 
     async def story(on: Stage) -> None:
         table = on.daemon.listeners[0].table
-        silent = await crowd(on, table.max_connections + 3 * table.max_refused)
+        silent = await crowd(on, table.max_connections + 3 * table.max_over_limit)
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"), request("q2"))
         assert await client.receive_to_end() == [503, 503]
         assert not client.reset
-        assert len(table.connections) <= table.max_connections + table.max_refused
+        assert len(table.connections) <= table.max_connections + table.max_over_limit
         for stream in silent:
             await stream.aclose()
 
--- a/tests/test_shutdown_deadlines.py
+++ b/tests/test_shutdown_deadlines.py
@@ -68,16 +68,16 @@
 
     async def story(on: Stage) -> None:
         listener = on.daemon.listeners[0]
-        accept = listener._accepted
+        accept = listener._handle_accepted
         held = trio.Event()
         go_on = trio.Event()
 
-        async def accept_slowly(stream: trio.SocketStream, wrap: Any) -> None:
+        async def accept_slowly(stream: trio.SocketStream, tls_handshake: Any) -> None:
             held.set()
             await go_on.wait()
-            await accept(stream, wrap)
+            await accept(stream, tls_handshake)
 
-        listener._accepted = accept_slowly  # type: ignore[method-assign]
+        listener._handle_accepted = accept_slowly  # type: ignore[method-assign]
         first = await connect(on.platform)
         await held.wait()
         queued = await send_request(on, "q1")  # nobody has accepted this connection yet
--- a/violetstack/daemon/daemon.py
+++ b/violetstack/daemon/daemon.py
@@ -106,7 +106,7 @@
         waits_for_permit = self.leases is not None
         if signal.handled_ms - signal.earliest_ms >= REJECT_REQUESTS_S * 1000.0 and not waits_for_permit:
             for listener in self.listeners:
-                listener.refusing = True
+                listener.rejecting_requests = True
 
     def reload(self, read_again: Callable[[], Config]) -> None:
         """Applies what can change while serving. An invalid configuration changes nothing.
--- a/violetstack/daemon/fronts.py
+++ b/violetstack/daemon/fronts.py
@@ -16,7 +16,7 @@
 from violetstack.fronts.reply import Front
 from violetstack.log import log, log_rate_limited
 from violetstack.net.clock import now_ms
-from violetstack.net.downstream.listener import Listener, Wrap
+from violetstack.net.downstream.listener import Listener, TlsHandshake
 from violetstack.net.tls import Certificate
 from violetstack.net.transient_errors import is_readable
 from violetstack.operator_config import AcmeConfig, ChatFrontConfig
@@ -105,7 +105,7 @@
     def note_closed_queue(self) -> None:
         """The listening sockets are about to be closed over connections that nobody has accepted."""
         for listener in self.listeners:
-            listener.closes.queue_closed(str(self._config.listen))
+            listener.closes.record_queue_closed(str(self._config.listen))
 
     @property
     def busy(self) -> bool:
@@ -116,7 +116,7 @@
         connected = any(table.busy or table.awaiting_requests or table.idle for table in tables)
         return bool(waiting or recording or connected)
 
-    async def _listen(self, at: Address, front: Front, wrap: Wrap | None = None) -> Address:
+    async def _listen(self, at: Address, front: Front, wrap: TlsHandshake | None = None) -> Address:
         listener = Listener(self._core, front)
         inherited = self._config.inherited_listener if at == self._config.listen else None
         if inherited is None:
--- a/violetstack/daemon/limits.py
+++ b/violetstack/daemon/limits.py
@@ -40,5 +40,5 @@
         self._hosts.pool.max_connections = share.upstream
         for listener in self._listeners:
             listener.table.max_connections = share.clients
-            listener.table.max_refused = share.refused
+            listener.table.max_over_limit = share.refused
             listener.table.max_buffered_bytes = share.body_bytes
--- a/violetstack/daemon/shutdown.py
+++ b/violetstack/daemon/shutdown.py
@@ -101,7 +101,7 @@
 
     def _count_states(self) -> dict[str, int]:
         connections = (each for listener in self._fronts.listeners for each in listener.table.connections)
-        return dict(Counter(connection.life.state.value for connection in connections))
+        return dict(Counter(connection.lifecycle.state.value for connection in connections))
 
     def _advance(self) -> bool:
         """Takes the steps that are due after SIGTERM; returns whether nothing is left to do.
@@ -115,7 +115,7 @@
             self._rejecting = True
             log("shutdown_rejecting")
         for listener in self._fronts.listeners:
-            listener.refusing = self._rejecting
+            listener.rejecting_requests = self._rejecting
         if elapsed_s >= schedule.end_waiting_s and not self._waiting_ended:
             self._waiting_ended = True
             log("shutdown_deadline", open=len(self._core.open_requests))
@@ -169,7 +169,7 @@
     """
     half_requests = [connection for connection in table.idle if connection.http.busy]
     for connection in [*table.awaiting_first_request, *half_requests]:
-        if not connection.life.answering and not connection.has_unread():
+        if not connection.lifecycle.answering and not connection.has_unread():
             table.evict(connection, CloseReason.SHUTDOWN_IDLE)
 
 
--- a/violetstack/net/downstream/closing.py
+++ b/violetstack/net/downstream/closing.py
@@ -17,7 +17,7 @@
 import msgspec
 import trio
 
-from violetstack.net.downstream.connection_life import RESTING_STATES, ConnectionState
+from violetstack.net.downstream.connection_lifecycle import RESTING_STATES, ConnectionState
 from violetstack.net.downstream.socket_state import tcp_stream
 
 INT_BYTES = struct.calcsize("i")
@@ -103,17 +103,17 @@
         """Which promises to the client it breaks."""
         if self.client_ended or self.reason in HARMLESS_REASONS:
             return []
-        found = []
+        broken = []
         if self.state is ConnectionState.WAITING:
-            found.append(Violation.ANSWER_OWED)
+            broken.append(Violation.ANSWER_OWED)
         if self.state is ConnectionState.STREAMING and self.reason is not CloseReason.STREAM_BROKEN:
-            found.append(Violation.STREAM_CUT)
+            broken.append(Violation.STREAM_CUT)
         waited_for_client = self.state is ConnectionState.LINGERING and not self.unread_bytes
         if self.unwritten_bytes or (self.unacknowledged_bytes and not waited_for_client):
-            found.append(Violation.OUTPUT_UNSENT)
+            broken.append(Violation.OUTPUT_UNSENT)
         if self.unread_bytes and not self.end_announced and self.state not in RESTING_STATES:
-            found.append(Violation.UNREAD_INPUT)
-        return found
+            broken.append(Violation.UNREAD_INPUT)
+        return broken
 
 
 HARMLESS_REASONS = frozenset(
@@ -141,22 +141,22 @@
         self.violations: Counter[Violation] = Counter()
         self._log = log
 
-    def closed(self, close: Close) -> None:
+    def record_close(self, close: Close) -> None:
         """Counts a close, and logs it if it breaks a promise."""
         self.closes[close.reason] += 1
         if close.served_recently and close.reason not in HARMLESS_REASONS:
-            self._log("client_connection_closed", **_fields(close))
+            self._log("client_connection_closed", **_log_fields(close))
         for violation in close.violations():
             self.violations[violation] += 1
-            self._log("client_connection_violation", violation=violation.value, **_fields(close))
+            self._log("client_connection_violation", violation=violation.value, **_log_fields(close))
 
-    def queue_closed(self, address: str) -> None:
+    def record_queue_closed(self, address: str) -> None:
         """A listening socket is closed over connections that nobody has accepted."""
         self.violations[Violation.QUEUE_CLOSED] += 1
         self._log("client_connection_violation", violation=Violation.QUEUE_CLOSED.value, listen=address)
 
 
-def _fields(close: Close) -> dict[str, Any]:
+def _log_fields(close: Close) -> dict[str, Any]:
     fields = msgspec.structs.asdict(close)
     fields["id"] = fields.pop("request_id")
     return fields
@@ -175,12 +175,12 @@
     return _queued_bytes(stream, termios.TIOCOUTQ)
 
 
-def _queued_bytes(stream: trio.abc.Stream, question: int) -> int:
+def _queued_bytes(stream: trio.abc.Stream, ioctl_request: int) -> int:
     transport = tcp_stream(stream)
     if transport is None or transport.socket.fileno() < 0:
         return 0
     try:
-        answer = fcntl.ioctl(transport.socket.fileno(), question, bytes(INT_BYTES))
+        result = fcntl.ioctl(transport.socket.fileno(), ioctl_request, bytes(INT_BYTES))
     except OSError:
         return 0
-    return int(struct.unpack("i", answer)[0])
+    return int(struct.unpack("i", result)[0])
--- a/violetstack/net/downstream/connection.py
+++ b/violetstack/net/downstream/connection.py
@@ -16,13 +16,13 @@
     unacknowledged_bytes,
     unread_bytes,
 )
-from violetstack.net.downstream.connection_life import (
+from violetstack.net.downstream.connection_lifecycle import (
     RESTING_STATES,
     ConnectionEvent,
-    ConnectionLife,
+    ConnectionLifecycle,
     ConnectionState,
 )
-from violetstack.net.downstream.connection_reader import ConnectionReader, first_byte_arrives
+from violetstack.net.downstream.connection_reader import ConnectionReader, wait_for_first_byte
 from violetstack.net.downstream.lingering import LingeringClose
 from violetstack.net.downstream.response_handle import ResponseHandle
 from violetstack.net.downstream.socket_state import has_unread, peer_has_closed
@@ -80,35 +80,35 @@
         "evicted",
         "http",
         "last_used",
-        "life",
+        "lifecycle",
         "listener",
         "migration_pause",
+        "over_limit",
         "progress_at",
-        "refused",
         "request",
+        "request_received",
         "scope",
-        "served",
         "stream",
         "unread_since",
     )
     _output: WriteQueue
     _reader: ConnectionReader
 
-    def __init__(self, stream: trio.abc.Stream, listener: Listener, *, refused: bool = False) -> None:
+    def __init__(self, stream: trio.abc.Stream, listener: Listener, *, over_limit: bool = False) -> None:
         self.stream = stream
         self.listener = listener
         self.http = UNUSED_PARSER
         self.request: OpenRequest | None = None
-        self.life = ConnectionLife(log_rate_limited)
+        self.lifecycle = ConnectionLifecycle(log_rate_limited)
         self.last_used = trio.current_time()
         self.progress_at = self.last_used
-        self.served = False
+        self.request_received = False
         """At least one complete request has arrived."""
         self.buffered_bytes = 0
         """Size of the body of the request that is arriving or being answered."""
         self.unread_since = 0.0
         """The bytes that are read next may have waited in the socket since then; 0 if they have not."""
-        self.refused = refused
+        self.over_limit = over_limit
         """Over the bound on connections: requests are answered 503."""
         self.scope = trio.CancelScope()
         self.evicted = False
@@ -130,8 +130,8 @@
 
     def adopt_response(self) -> ResponseHandle:
         """The handle of a response whose beginning another process has written."""
-        self.life.move(ConnectionEvent.STREAM_ADOPTED)
-        self.served = True
+        self.lifecycle.apply(ConnectionEvent.STREAM_ADOPTED)
+        self.request_received = True
         self._response = ResponseHandle(self)
         return self._response
 
@@ -142,7 +142,7 @@
         self._announce_close()
         self._streamed = False
         rejected = 400 <= status < 500 and self.request is None
-        self._reader.rejections_in_a_row = self._reader.rejections_in_a_row + 1 if rejected else 0
+        self._reader.consecutive_rejections = self._reader.consecutive_rejections + 1 if rejected else 0
         self._output.put(self.http.answer(status, headers, body))
         self._response_ended(broken=False)
 
@@ -152,9 +152,9 @@
         if self.http.closing:
             self._reader.interrupt()  # what comes now is left unread
         self._streamed = False
-        self._reader.rejections_in_a_row = 0
+        self._reader.consecutive_rejections = 0
         self._output.put(self.http.stream(status, headers))
-        self.life.move(ConnectionEvent.RESPONSE_BEGUN)
+        self.lifecycle.apply(ConnectionEvent.RESPONSE_BEGUN)
 
     def data(self, data: memoryview | bytes) -> None:
         """Queues a part of a streamed response's body."""
@@ -168,17 +168,17 @@
 
     def cut(self) -> None:
         """Closes once all is written, without the last chunk: a broken stream must not look complete."""
-        self.closes_for(CloseReason.STREAM_BROKEN)
+        self.note_close_reason(CloseReason.STREAM_BROKEN)
         self._response_ended(broken=True)
 
-    def closes_for(self, reason: CloseReason) -> None:
+    def note_close_reason(self, reason: CloseReason) -> None:
         """Notes why this process closes the connection; the first reason counts."""
         if self.close_reason is None:
             self.close_reason = reason
 
     async def wait_writable(self) -> None:
         """Returns once the client has read enough, or the connection is closed."""
-        if not self.life.closed:
+        if not self.lifecycle.closed:
             await self._output.wait_writable()
 
     def _announce_close(self) -> None:
@@ -191,13 +191,13 @@
         self.last_used = trio.current_time()
         self.listener.table.set_buffered_bytes(self, 0)
         if broken or self.http.closing or not self.http.reuse():
-            self.closes_for(CloseReason.RESPONSE_ENDED)
-            self.life.move(ConnectionEvent.LAST_RESPONSE_ENDED)
+            self.note_close_reason(CloseReason.RESPONSE_ENDED)
+            self.lifecycle.apply(ConnectionEvent.LAST_RESPONSE_ENDED)
         else:
-            self.life.move(ConnectionEvent.RESPONSE_ENDED)
+            self.lifecycle.apply(ConnectionEvent.RESPONSE_ENDED)
             if not self.evicted:
                 self.listener.table.mark_idle(self)
-        if self.life.ending or self.http.unread:
+        if self.lifecycle.ending or self.http.unread:
             self._reader.interrupt()  # nothing more is wanted, or the next request has been read already
         self._output.wake()
 
@@ -205,7 +205,7 @@
 
     async def pause_for_migration(self) -> bool:
         """Stops reading and writing between two events; False, with no effect, if not possible now."""
-        if not self._can_migrate() or not self._reader.waiting:
+        if not self._can_migrate() or not self._reader.waiting_for_input:
             return False
         pause = self.migration_pause = MigrationPause()
         self._output.expect_flush()
@@ -213,21 +213,21 @@
         with trio.move_on_after(MIGRATION_FLUSH_TIMEOUT_S):
             await pause.reading_stopped.wait()
             await self._output.wait_flushed()
-        ready = pause.reading_stopped.is_set() and not self.life.closed and self.http.passable
+        ready = pause.reading_stopped.is_set() and not self.lifecycle.closed and self.http.passable
         if not ready or self._output.pending_bytes:
             self.resume()
             return False
         return True
 
     def _can_migrate(self) -> bool:
-        if self.life.state is not ConnectionState.STREAMING or self.migration_pause is not None:
+        if self.lifecycle.state is not ConnectionState.STREAMING or self.migration_pause is not None:
             return False
         return isinstance(self.stream, trio.SocketStream) and self.http.passable
 
     @property
     def descriptor(self) -> int | None:
         """The socket's file descriptor; None for TLS and for closed connections."""
-        if self.life.closed or not isinstance(self.stream, trio.SocketStream):
+        if self.lifecycle.closed or not isinstance(self.stream, trio.SocketStream):
             return None
         return self.stream.socket.fileno()
 
@@ -239,7 +239,7 @@
 
     def detach(self) -> None:
         """Another process has the connection: this end is closed without shutting it down."""
-        self.closes_for(CloseReason.MIGRATED)
+        self.note_close_reason(CloseReason.MIGRATED)
         self.request = None
         self._response = None
         self.listener.table.forget(self)
@@ -250,37 +250,37 @@
 
         A read that has already taken bytes from the socket returns them, although it is cancelled.
         """
-        self.closes_for(reason)
+        self.note_close_reason(reason)
         self.evicted = True
-        if self.http is not UNUSED_PARSER and self._reader.waiting:
+        if self.http is not UNUSED_PARSER and self._reader.waiting_for_input:
             self._reader.interrupt()
         else:
             self.scope.cancel()
 
     def end_when_idle(self, reason: CloseReason) -> None:
         """Ends an idle connection in order; a request that has been read meanwhile is answered first."""
-        if not self._reader.waiting:
+        if not self._reader.waiting_for_input:
             return  # it is about to look at what it has read
         self.ends_when_idle = True
         self._streamed = False  # its client has had the time to read the response
-        self.closes_for(reason)
+        self.note_close_reason(reason)
         self._reader.interrupt()
 
     def begin_close(self) -> None:
         """Nothing is under way: the connection ends once all output is written."""
-        self.life.move(ConnectionEvent.END_BEGUN)
-        self.listener.table.mark_engaged(self)
+        self.lifecycle.apply(ConnectionEvent.END_BEGUN)
+        self.listener.table.mark_in_use(self)
         self._output.wake()
 
     # --- state of the socket ---
 
     def client_has_closed(self) -> bool:
         """Whether the client has closed its connection, or ended its sending, even behind unread bytes."""
-        return self.life.closed or peer_has_closed(self.stream)
+        return self.lifecycle.closed or peer_has_closed(self.stream)
 
     def has_unread(self) -> bool:
         """Whether bytes, or the client's end, wait in the socket."""
-        return not self.life.closed and has_unread(self.stream)
+        return not self.lifecycle.closed and has_unread(self.stream)
 
     @property
     def client_ended(self) -> trio.Event:
@@ -290,7 +290,7 @@
     @property
     def unacknowledged_bytes(self) -> int:
         """Written bytes that the client's machine has not acknowledged."""
-        return 0 if self.life.closed else unacknowledged_bytes(self.stream)
+        return 0 if self.lifecycle.closed else unacknowledged_bytes(self.stream)
 
     @property
     def unwritten_bytes(self) -> int:
@@ -303,12 +303,12 @@
         """Reads requests and writes responses until the connection ends; raises nothing but Cancelled."""
         try:
             with self.scope:
-                if self.http is not UNUSED_PARSER or await self._begin():
+                if self.http is not UNUSED_PARSER or await self._start():
                     async with trio.open_nursery() as nursery:
                         nursery.start_soon(self._write)
                         await self._reader.run()
-                        if not self.life.ending:
-                            self.closes_for(CloseReason.CLIENT_ENDED)
+                        if not self.lifecycle.ending:
+                            self.note_close_reason(CloseReason.CLIENT_ENDED)
                             nursery.cancel_scope.cancel()
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
             self.close_reason = CloseReason.CONNECTION_BROKEN  # whatever was to come next
@@ -321,11 +321,11 @@
             await self._close()
 
     async def _close(self) -> None:
-        self.listener.closes.closed(self._describe_close())
+        self.listener.closes.record_close(self._describe_close())
         if self._response is not None:
             self._response.connection_lost()
             self._response = None
-        self.life.move(ConnectionEvent.SOCKET_CLOSED)
+        self.lifecycle.apply(ConnectionEvent.SOCKET_CLOSED)
         self.listener.table.forget(self)
         if self.request is not None:
             self.listener.core.client_disconnected(now_ms(), self.request)
@@ -339,20 +339,20 @@
     def _describe_close(self) -> Close:
         return Close(
             reason=self.close_reason or CloseReason.PROCESS_ENDED,
-            state=self.life.state,
+            state=self.lifecycle.state,
             request_id=self.request.id if self.request is not None else self._request_id,
             unread_bytes=unread_bytes(self.stream),
             unacknowledged_bytes=unacknowledged_bytes(self.stream),
             unwritten_bytes=self.unwritten_bytes,
             idle_ms=round((trio.current_time() - self.last_used) * 1000.0),
-            end_announced=self.http.closing or self.life.ending,
+            end_announced=self.http.closing or self.lifecycle.ending,
             client_ended=self.client_has_closed(),
         )
 
-    async def _begin(self) -> bool:
+    async def _start(self) -> bool:
         """Waits for the first byte; False if the time for one is over."""
-        if not await first_byte_arrives(self):
-            self.closes_for(CloseReason.REQUEST_TIMEOUT)
+        if not await wait_for_first_byte(self):
+            self.note_close_reason(CloseReason.REQUEST_TIMEOUT)
             return False
         self.start_parsing(HttpServerConnection())
         # Not to be evicted as silent between the arrival of these bytes and their use.
@@ -366,61 +366,61 @@
 
         A client that has closed its connection and one that has only ended its sending look alike.
         """
-        if self.life.state is not ConnectionState.WAITING:
+        if self.lifecycle.state is not ConnectionState.WAITING:
             return
         request = self.request
         self.request = None
         may_have_run = request is not None and request.may_have_run_or_is_running
         if request is not None:
             self.listener.core.client_disconnected(now_ms(), request)
-        if self.life.answering:
+        if self.lifecycle.answering:
             if self._response is not None:
                 self._response.connection_lost()
             self._reject(500 if may_have_run else 503, CLIENT_ENDED)
 
     def request_timed_out(self) -> None:
         """The rest of a request, or a new connection's first, has not come in time."""
-        self.closes_for(CloseReason.REQUEST_TIMEOUT)
+        self.note_close_reason(CloseReason.REQUEST_TIMEOUT)
         if self.http.busy and self.http.can_answer:
             self._reject(408, "the request did not arrive in time")
         else:
             log_rate_limited("client_request_timeout")
             self.scope.cancel()
-            self.life.move(ConnectionEvent.END_BEGUN)
+            self.lifecycle.apply(ConnectionEvent.END_BEGUN)
 
     def _reject(self, status: int, reason: str) -> None:
-        self.closes_for(CloseReason.REQUEST_REJECTED)
+        self.note_close_reason(CloseReason.REQUEST_REJECTED)
         self.http.closing = True
-        if self.life.state is not ConnectionState.WAITING:
-            self.life.move(ConnectionEvent.REQUEST_READ)
+        if self.lifecycle.state is not ConnectionState.WAITING:
+            self.lifecycle.apply(ConnectionEvent.REQUEST_READ)
         self.listener.front.rejected(status, reason, ResponseHandle(self))
 
-    def _turn_away(self, reason: str) -> None:
+    def _reject_complete_request(self, reason: str) -> None:
         """Rejects a complete request; the connection ends unless another has been read behind it."""
         self.http.closing = self.http.closing or not self.http.unread
-        self.life.move(ConnectionEvent.REQUEST_READ)
-        self.served = True
-        self.listener.table.mark_engaged(self)
+        self.lifecycle.apply(ConnectionEvent.REQUEST_READ)
+        self.request_received = True
+        self.listener.table.mark_in_use(self)
         self.listener.front.rejected(503, reason, ResponseHandle(self))
 
     def _reject_evicted(self, inbound: HttpRequest | None) -> None:
         reason = "the connection was closed to make room"
         if inbound is not None:
-            self._turn_away(reason)
+            self._reject_complete_request(reason)
         else:
             self._reject(503, reason)
 
     def handle_next_request(self) -> None:
         """Hands the next complete request to the front, once the one before is answered."""
-        while not self.life.answering and not self.life.ending:
-            if self._reader.paces_pipeline:
+        while not self.lifecycle.answering and not self.lifecycle.ending:
+            if self._reader.must_delay_pipeline:
                 return
             try:
                 inbound = self.http.next_request()
             except InvalidRequestError as error:
                 self._reject(error.status, error.reason)
                 return
-            self._reader.note_pipelining(inbound is not None)
+            self._reader.count_pipelined(inbound is not None)
             if self.evicted:
                 self._reject_evicted(inbound)
                 continue
@@ -428,35 +428,37 @@
             if inbound is None:
                 self._await_rest_of_request()
                 return
-            reason = self._reason_to_turn_away()
+            reason = self._rejection_reason()
             if reason:
-                self._turn_away(reason)
+                self._reject_complete_request(reason)
             else:
                 self._hand_to_front(inbound)
 
     def _await_rest_of_request(self) -> None:
-        if self.http.busy and self.life.state in RESTING_STATES:
-            self.life.move(ConnectionEvent.REQUEST_BEGUN)  # it had been read behind the request before it
+        if self.http.busy and self.lifecycle.state in RESTING_STATES:
+            self.lifecycle.apply(
+                ConnectionEvent.REQUEST_BEGUN
+            )  # it had been read behind the request before it
         if self.listener.table.bodies_full and self.http.size:
             self._reject(503, BODIES_FULL)
         elif self._reader.discarded and self.http.busy:
             self._reject(503, "more was sent at once than is kept")
         elif self._reader.discarded:
-            self.closes_for(CloseReason.REQUEST_REJECTED)
-            self.life.move(ConnectionEvent.END_BEGUN)
+            self.note_close_reason(CloseReason.REQUEST_REJECTED)
+            self.lifecycle.apply(ConnectionEvent.END_BEGUN)
             self._output.wake()
         elif self.http.wants_continue:
             self._output.put([self.http.continue_100()])
 
-    def _reason_to_turn_away(self) -> str:
+    def _rejection_reason(self) -> str:
         """Why a complete request is not handed to the front; empty if it is."""
-        if self.refused:
+        if self.over_limit:
             return "the dispatcher holds too many connections"
-        if self._reader.pipelines_too_much:
+        if self._reader.exceeds_pipeline_limit:
             return "too many requests at once on one connection"
         if self.listener.table.bodies_full and self.http.size:
             return BODIES_FULL
-        if self.listener.refusing:
+        if self.listener.rejecting_requests:
             # The end of this process would cut the answer off; the client asks again elsewhere.
             return "this process ends"
         if self.client_has_closed():
@@ -465,9 +467,9 @@
         return ""
 
     def _hand_to_front(self, inbound: HttpRequest) -> None:
-        self.life.move(ConnectionEvent.REQUEST_READ)
-        self.served = True
-        self.listener.table.mark_engaged(self)
+        self.lifecycle.apply(ConnectionEvent.REQUEST_READ)
+        self.request_received = True
+        self.listener.table.mark_in_use(self)
         self._response = ResponseHandle(self)
         waited_ms = inbound.waited_ms + self._reader.waited_ms(self.http.unread)
         inbound = replace(inbound, waited_ms=waited_ms)
@@ -476,15 +478,15 @@
             self._request_id = self.request.id if self.request is not None else ""
         except Exception as error:  # a fault that one request shows must not cost it its answer
             log_rate_limited("request_failed", error=repr(error))
-            if self.life.answering and self.request is None:
+            if self.lifecycle.answering and self.request is None:
                 self._response.connection_lost()
                 self._reject(500, "the request could not be handled")
 
     async def _write(self) -> None:
         while True:
             await self._output.write_all(self.stream)
-            if self.life.ending:
-                self.life.move(ConnectionEvent.OUTPUT_WRITTEN)
+            if self.lifecycle.ending:
+                self.lifecycle.apply(ConnectionEvent.OUTPUT_WRITTEN)
                 await LingeringClose(self).run(client_closes_first=self._streamed)
                 self.scope.cancel()
                 return
--- a/violetstack/net/downstream/connection_life.py
+++ b/violetstack/net/downstream/connection_lifecycle.py
@@ -115,7 +115,7 @@
         self.event = event
 
 
-class ConnectionLife:
+class ConnectionLifecycle:
     """The state of one connection.
 
     Attributes:
@@ -131,11 +131,11 @@
         self.state = ConnectionState.UNREAD
         self._log = log
 
-    def move(self, event: ConnectionEvent) -> None:
+    def apply(self, event: ConnectionEvent) -> None:
         """Changes the state as the table says."""
-        following = TRANSITIONS[self.state].get(event)
-        if following is not None:
-            self.state = following
+        next_state = TRANSITIONS[self.state].get(event)
+        if next_state is not None:
+            self.state = next_state
             return
         if self.strict:
             raise InvalidTransitionError(self.state, event)
--- a/violetstack/net/downstream/connection_reader.py
+++ b/violetstack/net/downstream/connection_reader.py
@@ -9,7 +9,7 @@
 from trio.lowlevel import wait_readable
 
 from violetstack.log import log_rate_limited
-from violetstack.net.downstream.connection_life import RESTING_STATES, ConnectionEvent
+from violetstack.net.downstream.connection_lifecycle import RESTING_STATES, ConnectionEvent
 from violetstack.net.downstream.read_times import ReadTimes
 from violetstack.net.downstream.socket_state import wait_for_peer_end
 from violetstack.net.transient_errors import receive_some
@@ -38,7 +38,7 @@
 DISCARD_SIZE = 1024 * 1024
 
 
-async def first_byte_arrives(connection: DownstreamConnection) -> bool:
+async def wait_for_first_byte(connection: DownstreamConnection) -> bool:
     """Waits for a new connection's first byte; False if the time for one is over."""
     if not isinstance(connection.stream, trio.SocketStream):
         return True  # a TLS handshake has been made
@@ -59,28 +59,28 @@
     __slots__ = (
         "_arriving_since",
         "_connection",
-        "_paced",
+        "_pipeline_delayed",
         "_read_times",
-        "_wait",
+        "_wait_scope",
         "client_ended",
+        "consecutive_pipelined",
+        "consecutive_rejections",
         "discarded",
-        "pipelined_in_a_row",
-        "rejections_in_a_row",
     )
 
     def __init__(self, connection: DownstreamConnection) -> None:
         self.client_ended = trio.Event()
-        self.rejections_in_a_row = 0
+        self.consecutive_rejections = 0
         """Answers 4xx since the last request that was acceptable."""
-        self._paced = False
+        self._pipeline_delayed = False
         """The next request has waited already."""
-        self.pipelined_in_a_row = 0
+        self.consecutive_pipelined = 0
         """Requests behind which another had been read when they were handled."""
         self.discarded = False
         """Bytes behind the requests that are kept were dropped."""
         self._connection: DownstreamConnection | None = connection
         self._read_times = ReadTimes()
-        self._wait: trio.CancelScope | None = None
+        self._wait_scope: trio.CancelScope | None = None
         """The wait for bytes that is under way."""
         self._arriving_since = connection.last_used
         """When the first byte of the request that is arriving came; 0 while none is."""
@@ -90,29 +90,29 @@
         self._connection = None
 
     @property
-    def waiting(self) -> bool:
+    def waiting_for_input(self) -> bool:
         """Whether a wait for bytes is under way."""
-        return self._wait is not None
+        return self._wait_scope is not None
 
     def interrupt(self) -> None:
         """Ends the wait for bytes that is under way; a read that has taken bytes still returns them."""
-        if self._wait is not None:
-            self._wait.cancel()
+        if self._wait_scope is not None:
+            self._wait_scope.cancel()
 
-    def waited_ms(self, unused: int) -> float:
+    def waited_ms(self, bytes_behind: int) -> float:
         """How long a complete request has waited since its last byte came; `unused` bytes lie behind it."""
-        read_at = self._read_times.of_last_byte(unused)
+        read_at = self._read_times.last_byte_read_at(bytes_behind)
         return 0.0 if read_at is None else (trio.current_time() - read_at) * 1000.0
 
     async def run(self) -> None:
         """Reads until the client has ended its sending, or the connection is to be closed."""
         connection = self._connection
         assert connection is not None
-        while not connection.life.ending:
+        while not connection.lifecycle.ending:
             connection.handle_next_request()
-            if connection.life.ending:
+            if connection.lifecycle.ending:
                 break
-            if self.paces_pipeline and not connection.life.answering:
+            if self.must_delay_pipeline and not connection.lifecycle.answering:
                 await self._delay_pipeline()
                 continue
             if connection.migration_pause is not None:
@@ -127,58 +127,58 @@
         await wait_for_peer_end(connection.stream)
         self.client_ended.set()
 
-    def note_pipelining(self, complete: bool) -> None:
+    def count_pipelined(self, complete: bool) -> None:
         """A request was taken from the parser, or `complete` is False and more bytes have to come for one."""
         connection = self._connection
-        self._paced = False
+        self._pipeline_delayed = False
         if complete and connection is not None and connection.http.unread:
-            self.pipelined_in_a_row += 1
+            self.consecutive_pipelined += 1
         else:
-            self.pipelined_in_a_row = 0
+            self.consecutive_pipelined = 0
 
     @property
-    def paces_pipeline(self) -> bool:
+    def must_delay_pipeline(self) -> bool:
         """Whether the next request that has been read is to wait, as its client sends many at once.
 
         Each is answered in its turn, unless the client goes first.
         """
         connection = self._connection
-        if self._paced or connection is None or connection.listener.draining or connection.evicted:
+        if self._pipeline_delayed or connection is None or connection.listener.draining or connection.evicted:
             return False
-        return self.pipelined_in_a_row >= PIPELINE_BURST and connection.http.unread > 0
+        return self.consecutive_pipelined >= PIPELINE_BURST and connection.http.unread > 0
 
     @property
-    def pipelines_too_much(self) -> bool:
+    def exceeds_pipeline_limit(self) -> bool:
         """Whether the request that was taken from the parser last is one too many at once."""
-        return self.pipelined_in_a_row > PIPELINE_BURST
+        return self.consecutive_pipelined > PIPELINE_BURST
 
     async def _delay_pipeline(self) -> None:
-        self._paced = True
-        with trio.CancelScope() as self._wait:
+        self._pipeline_delayed = True
+        with trio.CancelScope() as self._wait_scope:
             await trio.sleep(PIPELINE_DELAY_S)
-        self._wait = None
+        self._wait_scope = None
 
     async def _read_or_wait(self, connection: DownstreamConnection) -> bool:
         """False if the client has ended its sending, or the connection is to be closed at once."""
         try:
-            if connection.life.answering and connection.http.closing:
+            if connection.lifecycle.answering and connection.http.closing:
                 return await self._wait_for_answer(connection)
-            if connection.life.answering and connection.http.unread > _max_unread_bytes(connection):
+            if connection.lifecycle.answering and connection.http.unread > _max_unread_bytes(connection):
                 return await self._discard_until_answered(connection)
             return await self._receive(connection, self._deadline(connection))
         finally:
-            self._wait = None
+            self._wait_scope = None
 
     def _deadline(self, connection: DownstreamConnection) -> float:
         """When the next bytes have to be there, on trio's clock; infinite if nothing has to come."""
-        if connection.life.answering or (connection.served and not connection.http.busy):
+        if connection.lifecycle.answering or (connection.request_received and not connection.http.busy):
             self._arriving_since = 0.0
             return math.inf
         now = trio.current_time()
         self._arriving_since = self._arriving_since or now
-        in_haste = connection.listener.draining or connection.listener.table.crowded
-        longest = REQUEST_TIMEOUT_S if in_haste else MAX_ARRIVAL_S
-        return min(now + REQUEST_TIMEOUT_S, self._arriving_since + longest)
+        short_of_capacity = connection.listener.draining or connection.listener.table.crowded
+        max_arrival_s = REQUEST_TIMEOUT_S if short_of_capacity else MAX_ARRIVAL_S
+        return min(now + REQUEST_TIMEOUT_S, self._arriving_since + max_arrival_s)
 
     async def _receive(self, connection: DownstreamConnection, deadline: float) -> bool:
         """Reads once, until `deadline`."""
@@ -186,15 +186,19 @@
         if now >= deadline and connection.has_unread():
             deadline = now + LATE_READ_S  # it came in time, and this process looks late
         data: bytes | bytearray = b""
-        with trio.move_on_at(deadline) as self._wait:
-            if self.rejections_in_a_row > 1 and not connection.life.answering and not connection.http.busy:
+        with trio.move_on_at(deadline) as self._wait_scope:
+            if (
+                self.consecutive_rejections > 1
+                and not connection.lifecycle.answering
+                and not connection.http.busy
+            ):
                 await self._delay_after_rejections(connection)
             data = await receive_some(connection.stream, READ_SIZE, lambda: _note_unread(connection))
-        if self._wait is not None and self._wait.cancelled_caught:
+        if self._wait_scope is not None and self._wait_scope.cancelled_caught:
             if connection.evicted and connection.has_unread():
                 data = await self._read_at_eviction(connection)
             if not data:
-                return _waited_in_vain(connection, deadline)
+                return _handle_no_data(connection, deadline)
         if data:
             self._feed(connection, bytes(data))
         return bool(data)
@@ -207,20 +211,20 @@
 
     def _feed(self, connection: DownstreamConnection, data: bytes) -> None:
         connection.http.feed(data)
-        if connection.life.state in RESTING_STATES:
-            connection.life.move(ConnectionEvent.REQUEST_BEGUN)
+        if connection.lifecycle.state in RESTING_STATES:
+            connection.lifecycle.apply(ConnectionEvent.REQUEST_BEGUN)
         read_at = connection.unread_since or _earliest_arrival(connection)
         connection.unread_since = 0.0
-        self._read_times.add(len(data), read_at, behind_request=connection.life.answering)
+        self._read_times.add(len(data), read_at, behind_request=connection.lifecycle.answering)
         table = connection.listener.table
-        if connection.life.answering:
+        if connection.lifecycle.answering:
             table.set_buffered_bytes(connection, connection.http.size + connection.http.unread)
-        if not connection.served:
+        if not connection.request_received:
             table.mark_progress(connection)
 
     async def _wait_for_answer(self, connection: DownstreamConnection) -> bool:
         """Waits for the answer's end with nothing read any more; False if the client ends first."""
-        with trio.CancelScope() as self._wait:
+        with trio.CancelScope() as self._wait_scope:
             await wait_for_peer_end(connection.stream)
             return False
         return True
@@ -232,8 +236,8 @@
         slowly, to spare the processor. The connection ends once what is kept has been answered.
         """
         self.discarded = True
-        with trio.CancelScope() as self._wait:
-            while connection.life.answering:
+        with trio.CancelScope() as self._wait_scope:
+            while connection.lifecycle.answering:
                 await trio.sleep(DISCARD_INTERVAL_S)
                 if not await receive_some(connection.stream, DISCARD_SIZE):
                     return False
@@ -241,7 +245,7 @@
 
     async def _delay_after_rejections(self, connection: DownstreamConnection) -> None:
         """Reads less often from a client whose requests are all invalid, to spare the processor."""
-        delay = REJECTION_DELAY_S * 2.0 ** (self.rejections_in_a_row - 2)
+        delay = REJECTION_DELAY_S * 2.0 ** (self.consecutive_rejections - 2)
         began = trio.current_time()
         await trio.sleep(min(MAX_REJECTION_DELAY_S, delay))
         if connection.has_unread():
@@ -263,7 +267,7 @@
     return MAX_UNREAD_BYTES_WHEN_FULL if connection.listener.table.bodies_full else MAX_UNREAD_BYTES
 
 
-def _waited_in_vain(connection: DownstreamConnection, deadline: float) -> bool:
+def _handle_no_data(connection: DownstreamConnection, deadline: float) -> bool:
     """No bytes were read; False if the connection is to be closed at once."""
     if connection.evicted:
         return connection.http.busy
--- a/violetstack/net/downstream/connection_table.py
+++ b/violetstack/net/downstream/connection_table.py
@@ -25,9 +25,9 @@
     and a client that writes slowly outlives one that writes nothing.
     """
 
-    def __init__(self, max_refused: int) -> None:
+    def __init__(self, max_over_limit: int) -> None:
         self.max_connections = 0
-        self.max_refused = max_refused
+        self.max_over_limit = max_over_limit
         """Connections over the bound that are kept until they have been answered."""
         self.max_buffered_bytes = 0
         self.buffered_bytes = 0
@@ -36,9 +36,9 @@
         self.connections: set[DownstreamConnection] = set()
         self.idle: dict[DownstreamConnection, None] = {}
         self.awaiting_first_request: dict[DownstreamConnection, None] = {}
-        self.refused: dict[DownstreamConnection, None] = {}
+        self.over_limit: dict[DownstreamConnection, None] = {}
         """Connections over the bound: their requests are answered 503, then they are closed."""
-        self.refused_handshakes = 0
+        self.over_limit_handshakes = 0
         self.closing: set[DownstreamConnection] = set()
         """Evicted connections that are not closed yet: one may still have to answer what it has just read."""
 
@@ -49,12 +49,12 @@
         self.connections.add(connection)
         self.awaiting_first_request[connection] = None
 
-    def add_refused(self, connection: DownstreamConnection) -> None:
+    def add_over_limit(self, connection: DownstreamConnection) -> None:
         """A new connection over the bound, or one that is evicted and has to be answered first."""
         self.connections.add(connection)
-        self.refused[connection] = None
+        self.over_limit[connection] = None
 
-    def add_engaged(self, connection: DownstreamConnection) -> None:
+    def add_in_use(self, connection: DownstreamConnection) -> None:
         """A connection with a response under way, taken over from another process."""
         self.connections.add(connection)
 
@@ -65,7 +65,7 @@
             self.awaiting_first_request[connection] = None
             connection.progress_at = trio.current_time()
 
-    def mark_engaged(self, connection: DownstreamConnection) -> None:
+    def mark_in_use(self, connection: DownstreamConnection) -> None:
         """A complete request has arrived."""
         self.awaiting_first_request.pop(connection, None)
         self.idle.pop(connection, None)
@@ -77,8 +77,8 @@
     def forget(self, connection: DownstreamConnection) -> None:
         """The connection is closed, or about to be."""
         self.set_buffered_bytes(connection, 0)
-        self.mark_engaged(connection)
-        self.refused.pop(connection, None)
+        self.mark_in_use(connection)
+        self.over_limit.pop(connection, None)
         self.closing.discard(connection)
         self.connections.discard(connection)
 
@@ -111,17 +111,17 @@
 
     def has_room(self) -> bool:
         """Whether one more connection may be kept; closes the least useful one for it if need be."""
-        kept = len(self.connections) - len(self.refused) + self.handshakes
+        kept = len(self.connections) - len(self.over_limit) + self.handshakes
         return kept < self.max_connections or self.evict_one()
 
-    def may_refuse(self) -> bool:
+    def may_serve_over_limit(self) -> bool:
         """Whether one more connection may be kept to be answered 503; closes a silent one for it if need be.
 
         False means that the descriptors for such connections are all in use: the new one is closed unread.
         """
-        if len(self.refused) + self.refused_handshakes < self.max_refused:
+        if len(self.over_limit) + self.over_limit_handshakes < self.max_over_limit:
             return True
-        return any(self._evict_unless_used(c) for c in self.refused if not c.http.busy)
+        return any(self._evict_unless_used(c) for c in self.over_limit if not c.http.busy)
 
     def evict_one(self) -> bool:
         """Closes the least useful connection; False if all are in use.
@@ -145,7 +145,9 @@
         """False if a response is still being read by its client, or a request has arrived unread."""
         if not self._is_settled(connection) or connection.has_unread():
             return False
-        if connection.http.busy and (connection.served or len(self.refused) >= self.max_refused):
+        if connection.http.busy and (
+            connection.request_received or len(self.over_limit) >= self.max_over_limit
+        ):
             return False  # it has to be answered first
         self.evict(connection, reason)
         return True
@@ -155,7 +157,7 @@
         """Whether the client has got its last response, and has had the time to send another request."""
         if connection.unwritten_bytes:
             return False
-        if not connection.served:
+        if not connection.request_received:
             return True
         return connection.last_used <= trio.current_time() - SETTLE_S and not connection.unacknowledged_bytes
 
@@ -164,7 +166,7 @@
         answer_first = connection.http.busy
         self.forget(connection)
         if answer_first:
-            self.add_refused(connection)
+            self.add_over_limit(connection)
         else:
             self.closing.add(connection)
         connection.evict(reason)
@@ -174,15 +176,16 @@
     @property
     def busy(self) -> bool:
         """Whether any response is under way, or a request lies unread on an idle connection."""
-        engaged = any(
-            c.life.answering or c.life.ending or c.http.busy or c.unwritten_bytes for c in self.connections
+        any_in_use = any(
+            c.lifecycle.answering or c.lifecycle.ending or c.http.busy or c.unwritten_bytes
+            for c in self.connections
         )
-        return engaged or bool(self.closing) or any(c.has_unread() for c in self.idle)
+        return any_in_use or bool(self.closing) or any(c.has_unread() for c in self.idle)
 
     @property
     def awaiting_requests(self) -> bool:
         """Whether a client has connected and not sent its first request yet."""
-        return bool(self.awaiting_first_request or self.refused or self.handshakes)
+        return bool(self.awaiting_first_request or self.over_limit or self.handshakes)
 
     def close_idle(self) -> None:
         """Closes idle connections; one that has never sent a request is given its time for that.
@@ -191,7 +194,7 @@
         is left open for a moment. It ends in order, for a request may come in this very moment.
         """
         ended = 0
-        for connection in [c for c in self.idle if not c.life.answering and not c.http.busy]:
+        for connection in [c for c in self.idle if not c.lifecycle.answering and not c.http.busy]:
             if ended < MAX_ENDED_AT_ONCE and self._is_settled(connection) and not connection.has_unread():
                 connection.end_when_idle(CloseReason.SHUTDOWN_IDLE)
                 ended += 1
--- a/violetstack/net/downstream/listener.py
+++ b/violetstack/net/downstream/listener.py
@@ -40,13 +40,13 @@
 """Errors of the one connection that accept(2) took off the queue: the next is accepted at once."""
 MAX_CONNECTION_ERRORS = 16
 """In a row; further ones are followed by a pause, since they may be no connection's."""
-MIN_PAUSE_MS = 50.0
+MIN_NOTED_PAUSE_MS = 50.0
 """Shorter waits are not remembered: a third of what a deadline that is passed on may be too long."""
-MAX_QUEUE_S = 1.0
+QUEUED_SINCE_VALID_S = 1.0
 """For this long after a pause or a failed accept, connections in the queue count as old as it was long."""
 MAX_CONCURRENT_REJECTIONS = 12
 """Connections over the bound that are kept until they are answered; further ones are closed unread."""
-Wrap = Callable[[trio.SocketStream], Awaitable[trio.abc.Stream]]
+TlsHandshake = Callable[[trio.SocketStream], Awaitable[trio.abc.Stream]]
 """Performs the TLS handshake."""
 
 
@@ -86,19 +86,21 @@
         self.closes = CloseMonitor(log_rate_limited)
         self.draining = False
         """Responses announce the connection's end, as this process shuts down."""
-        self.refusing = False
+        self.rejecting_requests = False
         """Requests are rejected, as the shutdown would cut their answers off."""
         self._queued_since = 0.0
         """Connections in the queue may have waited since then; 0 if that is not known."""
         self._queue_seen_at = 0.0
         self._nursery: trio.Nursery
 
-    async def run(self, listeners: list[trio.SocketListener], wrap: Wrap | None = None) -> None:
+    async def run(
+        self, listeners: list[trio.SocketListener], tls_handshake: TlsHandshake | None = None
+    ) -> None:
         """Serves until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for listener in listeners:
-                nursery.start_soon(self._accept_all, listener, wrap)
+                nursery.start_soon(self._accept_all, listener, tls_handshake)
 
     def adopt(self, raw: socket.socket, closing: bool) -> ResponseHandle:
         """Takes over a connection whose streamed response another process has begun.
@@ -109,11 +111,11 @@
         connection = DownstreamConnection(stream, self)
         connection.start_parsing(HttpServerConnection.resumed(closing))
         response = connection.adopt_response()
-        self.table.add_engaged(connection)
+        self.table.add_in_use(connection)
         self._nursery.start_soon(connection.serve)
         return response
 
-    async def _accept_all(self, listener: trio.SocketListener, wrap: Wrap | None) -> None:
+    async def _accept_all(self, listener: trio.SocketListener, tls_handshake: TlsHandshake | None) -> None:
         failures = AcceptFailures()
         while True:
             if _queue_is_empty(listener):
@@ -124,16 +126,16 @@
                 return  # the shutdown has closed the listening socket
             except OSError as error:  # the fault of one connection, or no descriptor or memory is left
                 log_rate_limited("accept_failed", error=str(error))
-                self._note_queue(trio.current_time())
+                self._note_queued_since(trio.current_time())
                 await trio.sleep(failures.pause_s(error))
                 continue
             failures.accepted()
             unread_ms = self.core.max_unread_ms()
-            if unread_ms > MIN_PAUSE_MS:
-                self._note_queue(trio.current_time() - unread_ms / 1000.0)
-            await self._accepted(stream, wrap)
+            if unread_ms > MIN_NOTED_PAUSE_MS:
+                self._note_queued_since(trio.current_time() - unread_ms / 1000.0)
+            await self._handle_accepted(stream, tls_handshake)
 
-    def _note_queue(self, since: float) -> None:
+    def _note_queued_since(self, since: float) -> None:
         """Connections that are accepted before the queue is empty may have waited since then."""
         if not self._queued_since:
             self._queued_since = since
@@ -142,10 +144,10 @@
     def _accepted_unread_since(self) -> float:
         """How long ago what a new connection holds may have come, as a time on trio's clock."""
         now = trio.current_time()
-        recent = now - self._queue_seen_at < MAX_QUEUE_S
+        recent = now - self._queue_seen_at < QUEUED_SINCE_VALID_S
         return self._queued_since if self._queued_since and recent else now
 
-    async def _accepted(self, stream: trio.SocketStream, wrap: Wrap | None) -> None:
+    async def _handle_accepted(self, stream: trio.SocketStream, tls_handshake: TlsHandshake | None) -> None:
         try:
             has_room = self.table.has_room()
         except Exception as error:  # a failure over one connection must not end the listener
@@ -153,30 +155,36 @@
             has_room = False
         if has_room:
             unread_since = 0.0
-            if wrap is None and is_readable(stream.socket, if_unknown=True):
+            if tls_handshake is None and is_readable(stream.socket, if_unknown=True):
                 unread_since = self._accepted_unread_since()
-            self._nursery.start_soon(self._serve, stream, wrap, unread_since)
-        elif self.table.may_refuse():
+            self._nursery.start_soon(self._serve, stream, tls_handshake, unread_since)
+        elif self.table.may_serve_over_limit():
             log_rate_limited("connection_rejected", status=503)
-            self.table.refused_handshakes += 1
-            self._nursery.start_soon(self._refuse, stream, wrap)
+            self.table.over_limit_handshakes += 1
+            self._nursery.start_soon(self._serve_over_limit, stream, tls_handshake)
         else:
             log_rate_limited("connection_rejected")
             await trio.aclose_forcefully(stream)
 
-    async def _refuse(self, raw: trio.SocketStream, wrap: Wrap | None) -> None:
+    async def _serve_over_limit(self, raw: trio.SocketStream, tls_handshake: TlsHandshake | None) -> None:
         """Reads the requests of a connection over the bound and answers them 503."""
         try:
-            stream: trio.abc.Stream | None = raw if wrap is None else await self._handshake(raw, wrap)
+            stream: trio.abc.Stream | None = (
+                raw if tls_handshake is None else await self._handshake(raw, tls_handshake)
+            )
         finally:
-            self.table.refused_handshakes -= 1
+            self.table.over_limit_handshakes -= 1
         if stream is not None:
-            connection = DownstreamConnection(stream, self, refused=True)
-            self.table.add_refused(connection)
+            connection = DownstreamConnection(stream, self, over_limit=True)
+            self.table.add_over_limit(connection)
             await connection.serve()
 
-    async def _serve(self, raw: trio.SocketStream, wrap: Wrap | None, unread_since: float) -> None:
-        stream: trio.abc.Stream | None = raw if wrap is None else await self._handshake(raw, wrap)
+    async def _serve(
+        self, raw: trio.SocketStream, tls_handshake: TlsHandshake | None, unread_since: float
+    ) -> None:
+        stream: trio.abc.Stream | None = (
+            raw if tls_handshake is None else await self._handshake(raw, tls_handshake)
+        )
         if stream is None:
             return
         connection = DownstreamConnection(stream, self)
@@ -184,11 +192,11 @@
         self.table.add(connection)
         await connection.serve()
 
-    async def _handshake(self, raw: trio.SocketStream, wrap: Wrap) -> trio.abc.Stream | None:
+    async def _handshake(self, raw: trio.SocketStream, tls_handshake: TlsHandshake) -> trio.abc.Stream | None:
         self.table.handshakes += 1
         try:
             with trio.fail_after(REQUEST_TIMEOUT_S):
-                return await wrap(raw)
+                return await tls_handshake(raw)
         except (OSError, trio.BrokenResourceError, trio.TooSlowError) as error:
             log_rate_limited("tls_handshake_failed", error=repr(error))
             await trio.aclose_forcefully(raw)
--- a/violetstack/net/downstream/read_times.py
+++ b/violetstack/net/downstream/read_times.py
@@ -39,9 +39,9 @@
         else:
             self._reads.append(Read(self._total, at))
 
-    def of_last_byte(self, unused: int) -> float | None:
+    def last_byte_read_at(self, bytes_behind: int) -> float | None:
         """When the last byte of a complete request was read, with `unused` bytes behind it."""
-        end = self._total - unused
+        end = self._total - bytes_behind
         while len(self._reads) > 1 and self._reads[0].end < end:
             self._reads.popleft()
         return self._reads[0].at if self._reads else None
--- a/violetstack/net/downstream/response_handle.py
+++ b/violetstack/net/downstream/response_handle.py
@@ -72,13 +72,13 @@
         if self._connection is not None:
             await self._connection.wait_writable()
 
-    def _finish(self, act: Callable[[DownstreamConnection], None]) -> None:
+    def _finish(self, action: Callable[[DownstreamConnection], None]) -> None:
         connection = self._connection
         self._connection = None
         if connection is None:
             return
         try:
-            act(connection)
+            action(connection)
         except h11.LocalProtocolError as error:
             log_rate_limited("response_dropped", error=str(error))
             connection.cut()
