--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -279,7 +279,7 @@
 
     def stream_broken(self) -> None: ...
 
-    def client_disconnected(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         return False
 
     def rejected(self, retry_after_ms: float) -> None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -95,7 +95,7 @@
     def stream_broken(self) -> None:
         self.answers.append("stream_broken")
 
-    def client_disconnected(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         return self.gone
 
     def rejected(self, retry_after_ms: float) -> None:
--- a/violetstack/core/ports.py
+++ b/violetstack/core/ports.py
@@ -45,7 +45,7 @@
     def failed(self, may_have_run: bool) -> None:
         """The request failed; `may_have_run` says whether a host may have executed it."""
 
-    def client_disconnected(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         """Returns whether the client has closed its connection by now, or has its response."""
 
 
--- a/violetstack/core/records.py
+++ b/violetstack/core/records.py
@@ -60,7 +60,7 @@
     def failed(self, may_have_run: bool) -> None:
         """Does nothing."""
 
-    def client_disconnected(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         """Returns True: the client has its response."""
         return True
 
--- a/violetstack/core/send_guard.py
+++ b/violetstack/core/send_guard.py
@@ -67,7 +67,7 @@
     def check_next_bytes(self, now: float, attempt: Attempt) -> WithholdReason | None:
         """May the rest, or a part of it, be written? A host that drains finishes what it has the begin of."""
         request = attempt.request
-        if not attempt.finished and request.accepts_attempts and request.sink.client_disconnected():
+        if not attempt.finished and request.accepts_attempts and request.sink.is_client_disconnected():
             # The end of the connection may not have been read from the socket yet.
             self._client_disconnected(now, request)
         if request.client_disconnected:
--- a/violetstack/fronts/chat_sink.py
+++ b/violetstack/fronts/chat_sink.py
@@ -81,7 +81,7 @@
         retry_is_safe = self._idempotent or not may_have_run
         no_answer("No answer came in time.", "no_answer", retry_is_safe=retry_is_safe).send(self._reply)
 
-    def client_disconnected(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         """Whether the client has closed its connection, or been answered."""
         return self._reply.gone
 
--- a/violetstack/fronts/platform.py
+++ b/violetstack/fronts/platform.py
@@ -51,7 +51,7 @@
         """No answer; the request may have run."""
         self.reply.answer(500, TEXT, b"failed\n")
 
-    def client_disconnected(self) -> bool:
+    def is_client_disconnected(self) -> bool:
         """Whether the client has closed its connection, or been answered."""
         return self.reply.gone
 
