--- a/violetstack/core/attempts.py
+++ b/violetstack/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of requests at hosts: their start, what the driver reports of them, and their end."""
+"""Attempts of requests at hosts: how they start, what the driver reports about them, and how they end."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
     StreamStarted,
 )
 
-# A connection gets this long even if the state held for its request expires sooner; a release takes a few ms.
+# Lower limit of the connect timeout, also if the state held for the request expires sooner; a release takes
+# only a few milliseconds.
 MIN_CONNECT_TIMEOUT_MS = 40.0
 
 
 class AttemptManager:
-    """Starts, cancels and finishes attempts, and commits a request to the first that streams."""
+    """Starts, cancels and finishes attempts, and commits a request to its first attempt that streams."""
 
     def __init__(
         self,
@@ -31,18 +32,19 @@
         lifecycle: RequestLifecycle,
         hold_manager: HoldManager,
     ) -> None:
-        """Creates it for a dispatcher's state; `held` follows what hosts hold."""
+        """Creates a manager without attempts; `hold_manager` tracks what hosts hold for requests."""
         self._state = state
         self._hold_manager = hold_manager
         self._lifecycle = lifecycle
         self.send_guard = SendGuard(state, self.client_disconnected)
 
-    # --- what the policy decides ---
+    # --- actions of the policy ---
 
     def send(self, now: float, request: OpenRequest, server: str, deadline: float) -> None:
-        """Starts an attempt that times out at `deadline`, or at the request's own; 0 means the latter.
+        """Starts an attempt that times out at `deadline` or at the request's deadline, whichever is earlier.
 
-        An attempt that the settings forbid, or that comes too late, ends at once as ALREADY_FINISHED.
+        A `deadline` of 0 stands for the request's deadline. An attempt that the settings forbid, or that is
+        too late, ends at once with ALREADY_FINISHED.
         """
         state = self._state
         deadline = min(deadline or request.deadline, request.deadline)
@@ -74,33 +76,34 @@
     def _timed_out(self, now: float, attempt: Attempt) -> None:
         if attempt.finished or attempt.stream_started:
             return
-        # What has not left has never run, however long the connection took; closing drops it.
+        # If the last byte is still on this machine, no host has executed the attempt, however long it took to
+        # connect; closing the connection discards the rest.
         written = attempt.request_written and self._state.driver.is_fully_sent(attempt)
         self._state.driver.abort_attempt(attempt)
         self.finished(now, attempt, AttemptStatus.TIMEOUT if written else AttemptStatus.CONNECT_FAILED)
 
-    # --- what the driver asks and reports ---
+    # --- queries and reports of the driver ---
 
     def may_send(self, now: float, attempt: Attempt) -> bool:
-        """Returns whether the first byte of the attempt may be written now; `SendGuard` decides."""
+        """Returns whether the attempt's first byte may be written now; see `SendGuard.check_first_byte`."""
         return self._record_withheld(attempt, self.send_guard.check_first_byte(now, attempt))
 
     def may_continue_sending(self, now: float, attempt: Attempt) -> bool:
-        """Returns whether a part of the attempt may be written now; asked in each step that writes one."""
+        """Returns whether more of the attempt may be written now; called in each step that writes a part."""
         return self._record_withheld(attempt, self.send_guard.check_next_bytes(now, attempt))
 
     @staticmethod
     def _record_withheld(attempt: Attempt, withhold_reason: WithholdReason | None) -> bool:
-        """Keeps the reason for the log, and returns whether there is none."""
+        """Keeps the reason for the log; returns True if there is none, so the attempt may be sent."""
         if withhold_reason is not None:
             attempt.withhold_reason = withhold_reason.value
         return withhold_reason is None
 
     def abort_unsent_attempts(self, now: float, request: OpenRequest) -> None:
-        """Ends attempts whose last byte has not left if nothing may be sent for the request any more.
+        """Ends attempts that are not completely sent, if the request accepts no attempts any more.
 
-        Hosts have not begun them, so this is no cancellation that the settings could forbid. The kernel may
-        have taken all of a request that a host reads slowly, and would deliver it however late.
+        Hosts have not begun these attempts, so the settings on cancellation do not apply. Without this, the
+        kernel would deliver a request that it has buffered to a host that reads slowly, no matter how late.
         """
         if request.accepts_attempts:
             return
@@ -112,22 +115,26 @@
             self.finished(now, attempt, AttemptStatus.ALREADY_FINISHED)
 
     def connect_timeout_ms(self, now: float, attempt: Attempt) -> float:
-        """Returns how long the connection of an attempt may take to come up; infinite if nothing is held.
+        """Returns the timeout for connecting to the attempt's host; infinite if no host holds anything.
 
-        A host frees the state held for a request some time after the request's last attempt. While one
-        connection after the other does not come up nothing reaches a host, so that time must not be exceeded.
+        A host frees the state held for a request some time after the request's last attempt. While connecting
+        fails again and again no attempt reaches a host, so all of this must not take longer than that time.
         """
         left_ms = self._hold_manager.connect_timeout_ms(now, attempt.request)
         return math.inf if left_ms is None else max(MIN_CONNECT_TIMEOUT_MS, left_ms)
 
     def request_started(self, now: float, attempt: Attempt) -> None:
-        """The first byte is being written: a release that is written later would release this one's state."""
+        """Records that the attempt's first byte is being written.
+
+        A release in flight is marked as superseded: sent after the attempt, it would free the state that the
+        attempt uses.
+        """
         accepts_requests = self._state.endpoints.accepts_requests(attempt.server)
         self._state.invariants.check_first_byte(now, attempt, host_accepts_requests=accepts_requests)
         self._hold_manager.mark_release_superseded(attempt.request)
 
     def request_written(self, now: float, attempt: Attempt) -> None:
-        """The last byte may have left; called in the step that hands it to the kernel."""
+        """Records that the last byte may have been sent; called in the step that hands it to the kernel."""
         state = self._state
         state.invariants.check_last_byte(now, attempt)
         attempt.request_written = True
@@ -135,13 +142,13 @@
         state.metrics.requests_written += 1
 
     def give_up_undelivered(self, now: float, attempt: Attempt) -> None:
-        """Ends an attempt that its host has not acknowledged: its connection has fallen silent."""
+        """Ends an attempt that its host has not acknowledged in time, as if the connection had broken."""
         self._state.driver.log("attempt_undelivered", id=attempt.request.id, server=attempt.server)
         self._state.driver.abort_attempt(attempt)
         self.finished(now, attempt, AttemptStatus.RESET)
 
     def stream_started(self, now: float, attempt: Attempt) -> bool:
-        """Commits the request to the attempt; returns False if its response is not wanted any more."""
+        """Commits the request to the attempt; returns False if the response is no longer needed."""
         request = attempt.request
         state = self._state
         if attempt.finished or request.has_response:
@@ -167,7 +174,7 @@
             self._state.notify(attempt.request.sink.event, data)
 
     def request_invalid(self, now: float, attempt: Attempt) -> None:
-        """A host says that the request itself is at fault: no other host is tried, and none is blamed."""
+        """Fails a request that a host reports as invalid: no other host is tried, and none is blamed."""
         request = attempt.request
         if attempt.finished or request.has_response:
             return
@@ -185,7 +192,7 @@
         detail: int = 0,
         load_report: tuple[float | None, ...] | None = None,
     ) -> None:
-        """Records the one outcome of an attempt and tells the policy; later outcomes are ignored."""
+        """Records the outcome of an attempt and reports it to the policy; further outcomes are ignored."""
         if attempt.finished:
             return
         request = attempt.request
@@ -199,7 +206,7 @@
         self._hold_manager.attempt_ended(now, attempt, status)
         self._observe(now, attempt, status)
         if request.client_disconnected:
-            # The policy is to hear of the request's end with this attempt's, or it would retry.
+            # Finish the request first: if the policy saw only the attempt's end, it would retry.
             self.client_disconnected(now, request)
         duration_ms = now - attempt.sent_at
         _log_attempt(attempt, status, duration_ms)
@@ -223,7 +230,7 @@
         del attempt.request.in_flight[attempt.number]
 
     def _finish_request(self, now: float, attempt: Attempt, status: AttemptStatus) -> None:
-        """Ends the request if this attempt carried its response."""
+        """Ends the request if this attempt provided its response."""
         request = attempt.request
         if request.done or not (status is AttemptStatus.OK or request.committed_attempt is attempt):
             return
@@ -240,12 +247,13 @@
         elif status in FAILURE_STATUSES and not attempt.stream_started:
             self._state.observe_attempt(attempt.server, now, succeeded=False)
 
-    # --- the client, and other processes ---
+    # --- disconnected clients and migrated streams ---
 
     def client_disconnected(self, now: float, request: OpenRequest) -> None:
-        """Ends a request that nobody waits for, once no host executes it for a retry to find.
+        """Ends the request, unless a host is executing it and it survives its client's disconnect.
 
-        Nothing more is sent for it in any case.
+        Such a request ends once no host executes it; the client's retry then finds its response. In both
+        cases no further attempts are sent.
         """
         state = self._state
         request.client_disconnected = True
@@ -257,21 +265,21 @@
             return
         self._lifecycle.finish(now, request, RequestOutcome.CLIENT_DISCONNECTED)
         if request.survives_disconnect:
-            state.notify(request.sink.failed, request.may_have_run)  # for its stored record
+            state.notify(request.sink.failed, request.may_have_run)  # updates its idempotency record
         state.post(ClientDisconnected(request.id))
         if request.committed_attempt is not None:
             self._state.driver.abort_attempt(request.committed_attempt)
             self.finished(now, request.committed_attempt, AttemptStatus.CANCELLED)
 
     def can_migrate(self, attempt: Attempt) -> bool:
-        """Returns whether the attempt's stream is all that is in flight for its request."""
+        """Returns whether the attempt's stream is the only call in flight for its request."""
         request = attempt.request
         if attempt.finished or request.done or request.committed_attempt is not attempt:
             return False
         return len(request.in_flight) == 1 and not request.reservations_in_flight and request.release is None
 
     def migrated(self, now: float, attempt: Attempt) -> None:
-        """Another process took over the stream, and will release what hosts hold for its request."""
+        """Ends the request here: another process has taken over the stream, and releases what hosts hold."""
         self._hold_manager.apply(now, attempt.request, HoldEvent.RELEASED)
         self._lifecycle.finish(now, attempt.request, RequestOutcome.MIGRATED)
         self._state.post(ClientDisconnected(attempt.request.id))
@@ -279,7 +287,7 @@
 
 
 def _log_attempt(attempt: Attempt, status: AttemptStatus, duration_ms: float) -> None:
-    """Keeps the attempt for its request's log line."""
+    """Adds the attempt to the log line of its request."""
     withhold_reason = attempt.withhold_reason if status is AttemptStatus.ALREADY_FINISHED else ""
     entry = AttemptLogEntry(attempt.server, status, round(duration_ms), withhold_reason)
     attempt.request.attempt_log.append(entry)
--- a/violetstack/core/dispatcher.py
+++ b/violetstack/core/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher's core: passes events to the policy and carries out the actions that it returns."""
+"""The core of the dispatcher: passes events to the policy and performs the actions that it returns."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def _do_not_wake() -> None:
-    """For a dispatcher whose caller runs it after each event."""
+    """Does nothing: for a dispatcher whose caller calls `run` after each event."""
 
 
 def _unchanged(retry_after_ms: float) -> float:
@@ -64,22 +64,22 @@
 
 
 class Dispatcher:
-    """Owns one dispatcher's open requests, between the fronts, the policy and the driver.
+    """Manages the open requests of one dispatcher, between the fronts, the policy and the driver.
 
-    Every method that needs the time takes it, in milliseconds of one monotonic clock. Methods only queue
-    events; `run` has the policy decide on them.
+    Methods that need the time take it as `now`, in milliseconds of one monotonic clock. They only queue
+    events; `run` passes the events to the policy.
 
     Attributes:
         settings: The operators' settings.
-        policy: Decides on events.
-        driver: Carries out calls against hosts.
-        drain_grace_ms: How long a host that drains still accepts attempts.
+        policy: Decides what is done about events.
+        driver: Performs calls to hosts.
+        drain_grace_ms: How long a draining host still accepts attempts.
         open_requests: Requests by id, until no host holds anything for them.
         endpoints: Listed endpoints by host id.
         draining: Ids of hosts that are draining.
         stateless_hosts: Ids of hosts that hold no state and take no reservations or releases.
         metrics: Counters of requests.
-        invariants: Checks the operators' rules, and counts violations.
+        invariants: Checks the operators' rules and counts violations.
     """
 
     def __init__(
@@ -97,12 +97,12 @@
 
         Args:
             settings: The operators' settings.
-            policy: Decides on events.
-            driver: Carries out calls against hosts.
-            drain_grace_ms: How long a host that drains still accepts attempts.
-            wake: Called when there is something to `run` for.
-            retry_after: Adjusts the advice of a rejection.
-            max_unread: Tells how long a request that is read now may have waited in its socket.
+            policy: Decides what is done about events.
+            driver: Performs calls to hosts.
+            drain_grace_ms: How long a draining host still accepts attempts.
+            wake: Called when `run` has something to do.
+            retry_after: Adjusts the retry time that a rejection advises.
+            max_unread: Returns how long a request that is read now may have waited in its socket, in ms.
         """
         self.settings = settings
         self.policy = policy
@@ -123,25 +123,25 @@
 
     @property
     def pending_events(self) -> list[Event]:
-        """Events that the policy has not seen yet."""
+        """Events that have not been passed to the policy yet."""
         return self._state.pending_events
 
     def use_router(self, router: RequestRouter) -> None:
-        """Has requests routed by `router` from now on."""
+        """Routes requests by `router` from now on."""
         self._state.router = router
 
     def use_load_shedder(self, load_shedder: LoadShedder) -> None:
-        """Has requests admitted by `load_shedder` from now on."""
+        """Admits requests by `load_shedder` from now on."""
         self._state.load_shedder = load_shedder
 
     def use_outlier_observer(self, observer: OutlierObserver) -> None:
         """Reports the endpoint list and the outcomes of attempts to `observer` from now on."""
         self._state.outlier_observer = observer
 
-    # --- requests, from the fronts ---
+    # --- requests from the fronts ---
 
     def route(self, request: Request, origin: Origin) -> Request:
-        """Returns the request with its route; every front calls this before `admit`.
+        """Returns the request with its route; each front calls this before `admit`.
 
         Raises:
             NotRoutedError: No route matches, or the route's policy rejects the request.
@@ -150,14 +150,17 @@
         return request if router is None else router.route(request, origin)
 
     def admit(self, now: float, request: Request, waited_ms: float = 0.0) -> Shed | None:
-        """Returns None to admit the request; every front calls this right before `accept`.
+        """Decides whether the request is admitted; each front calls this right before `accept`.
 
-        The time that the request may have waited before it was taken up counts as part of its deadline.
+        The time that the request may have waited before it was read is subtracted from its deadline.
 
         Args:
             now: The time.
-            request: The request; its age and what is left of its deadline are set.
-            waited_ms: How long its connection knows it to have waited.
+            request: The request; its `age_ms` and `expires_in_ms` are updated.
+            waited_ms: How long the request has waited as far as its connection knows.
+
+        Returns:
+            None if the request is admitted, otherwise why it is shed and when the client may retry.
         """
         request.age_ms = max(waited_ms, self._max_unread())
         request.expires_in_ms -= request.age_ms
@@ -180,19 +183,19 @@
         return self._lifecycle.accept(now, request, sink, payload)
 
     def client_disconnected(self, now: float, request: OpenRequest) -> None:
-        """The client has closed its connection."""
+        """Records that the client has closed its connection."""
         self._attempts.client_disconnected(now, request)
 
     def latency_objective_ms(self, request: Request) -> float:
-        """Returns the time within which the request's first token is wanted."""
+        """Returns the objective for the time until the request's first token."""
         return self._state.latency_objective_ms(request)
 
     def max_unread_ms(self) -> float:
-        """Returns how long what is read now may have waited in its socket."""
+        """Returns how long a request that is read now may have waited in its socket."""
         return self._max_unread()
 
     def waiting_objective_ratios(self, now: float) -> list[float]:
-        """Returns the ages of the requests without a first token, each divided by its latency objective."""
+        """Returns age divided by latency objective for each request that waits for its first token."""
         state = self._state
         waiting = [request for request in self.open_requests.values() if not request.has_response]
         return [
@@ -213,75 +216,76 @@
         state.post(update)
 
     def process_paused(self, now: float, pause_ms: float) -> None:
-        """The process did not run for `pause_ms`; the policy learns this before anything else."""
+        """Records that the process did not run for `pause_ms`; the policy gets this event first."""
         self._state.post_pause(pause_ms)
         self._state.invariants.process_paused(now)
 
     def shutdown_started(self) -> None:
-        """The process is about to end: the policy ends requests while their clients can be answered."""
+        """Tells the policy to end the open requests while there is time to answer their clients."""
         self._state.post(ShutdownStarted())
 
     def health_check_finished(self, result: HealthCheckResult) -> None:
-        """A health check ended."""
+        """Passes the result of a health check to the policy."""
         self._state.post(result)
 
     def gossip_received(self, message: GossipReceived) -> None:
-        """Another dispatcher sent a datagram."""
+        """Passes a datagram of another dispatcher to the policy."""
         self._state.post(message)
 
     def outlier_check_updated(self, result: OutlierCheckResult) -> None:
-        """The check of an outlier host changed hands or ended."""
+        """Tells the policy who checks an outlier host now, or that the check has ended."""
         self._state.post(result)
 
-    # --- streams that move to another process ---
+    # --- stream migration between processes ---
 
     def can_migrate(self, attempt: Attempt) -> bool:
-        """Returns whether the attempt's stream is all that is in flight for its request."""
+        """Returns whether the attempt's stream is the only call in flight for its request."""
         return self._attempts.can_migrate(attempt)
 
     def stream_migrated(self, now: float, attempt: Attempt) -> None:
-        """Another process took over the stream, and will release what hosts hold for its request."""
+        """Ends the request here: another process has taken over the stream, and releases what hosts hold."""
         self._attempts.migrated(now, attempt)
 
     def adopt_stream(self, now: float, stream: MigratedStream, sink: Sink) -> Attempt:
-        """Opens a request whose stream another process began."""
+        """Opens a request whose stream was started by another process."""
         return self._lifecycle.adopt(now, stream, sink)
 
-    # --- what the driver asks and reports ---
+    # --- queries and reports of the driver ---
 
     def may_send_to(self, server: str) -> bool:
-        """Returns whether a first byte may be written to the host now; asked in the step that writes it.
+        """Returns whether the first byte of a call may be written to the host now.
 
-        The host may have been listed as draining, or removed, since it was chosen.
+        The driver calls this in the step that writes the byte. The host may have started to drain, or may
+        have been removed, since it was selected.
         """
         return self._attempts.send_guard.check_host(server) is None
 
     def may_reserve(self, call: ReservationCall) -> bool:
-        """Returns whether a slot may be asked for now; see `SendGuard.check_reservation`."""
+        """Returns whether the reservation may be sent now; see `SendGuard.check_reservation`."""
         return self._attempts.send_guard.check_reservation(call) is None
 
     def may_send(self, now: float, attempt: Attempt) -> bool:
-        """Returns whether the first byte of the attempt may be written now; see `Attempts.may_send`."""
+        """Returns whether the first byte of the attempt may be written now; see `AttemptManager.may_send`."""
         return self._attempts.may_send(now, attempt)
 
     def may_continue_sending(self, now: float, attempt: Attempt) -> bool:
-        """Returns whether a part of the attempt may be written; see `Attempts.may_continue_sending`."""
+        """Returns whether more of the attempt may be written; see `AttemptManager.may_continue_sending`."""
         return self._attempts.may_continue_sending(now, attempt)
 
     def connect_timeout_ms(self, now: float, attempt: Attempt) -> float:
-        """Returns how long the connection of an attempt may take to come up."""
+        """Returns the timeout for connecting; see `AttemptManager.connect_timeout_ms`."""
         return self._attempts.connect_timeout_ms(now, attempt)
 
     def request_started(self, now: float, attempt: Attempt) -> None:
-        """The first byte of the attempt is written in this step."""
+        """Records that the attempt's first byte is written in this step."""
         self._attempts.request_started(now, attempt)
 
     def request_written(self, now: float, attempt: Attempt) -> None:
-        """The last byte of the attempt may have left; called in the step that hands it to the kernel."""
+        """Records that the last byte may have been sent; called in the step that hands it to the kernel."""
         self._attempts.request_written(now, attempt)
 
     def stream_started(self, now: float, attempt: Attempt) -> bool:
-        """The first event of a response came; returns False if it is not wanted any more."""
+        """Records the first event of a response; returns False if the response is no longer needed."""
         return self._attempts.stream_started(now, attempt)
 
     def forward_event(self, attempt: Attempt, data: memoryview) -> None:
@@ -296,42 +300,42 @@
         detail: int = 0,
         load_report: tuple[float | None, ...] | None = None,
     ) -> None:
-        """Reports the one outcome of an attempt; see `AttemptFinished` for the arguments."""
+        """Records the outcome of an attempt; see `AttemptFinished` for the arguments."""
         self._attempts.finished(now, attempt, status, detail, load_report)
 
     def request_invalid(self, now: float, attempt: Attempt) -> None:
-        """A host says that the request itself is at fault."""
+        """Fails a request that a host reports as invalid."""
         self._attempts.request_invalid(now, attempt)
 
     def reservation_written(self, now: float, call: ReservationCall) -> None:
-        """The last byte of a reservation is handed to the kernel in this step."""
+        """Records that the last byte of a reservation is handed to the kernel in this step."""
         self._reservations.written(now, call)
 
     def reservation_finished(
         self, now: float, call: ReservationCall, reserved: bool | None, nothing_reserved: bool
     ) -> None:
-        """A reservation ended; see `Reservations.finished`."""
+        """Records the result of a reservation; see `ReservationManager.finished`."""
         self._reservations.finished(now, call, reserved, nothing_reserved)
 
     def release_finished(self, now: float, call: ReleaseCall, done: bool) -> None:
-        """A release ended, or was given up if not `done`."""
+        """Records the end of a release; `done` is False if the driver has given it up."""
         self._hold_manager.release_finished(now, call, done)
 
     def hold_summary(self, now: float) -> HoldSummary:
-        """Counts what hosts may hold for open requests."""
+        """Returns how many open requests hosts may hold something for, and for how long it is unclaimed."""
         return summarize((request.hold for request in self.open_requests.values()), now)
 
     def _give_up_undelivered(self, now: float, attempt: Attempt) -> None:
         self._attempts.give_up_undelivered(now, attempt)
 
-    # --- the policy's turn ---
+    # --- the event loop ---
 
     def next_due(self) -> float:
         """Returns the time of the next timer; infinite if there is none."""
         return self._state.timers.next_due()
 
     def run(self, now: float) -> None:
-        """Runs the timers that are due, then the policy, until nothing is left to decide."""
+        """Runs the timers that are due, then the policy until no event or changed request is left."""
         state = self._state
         state.timers.run(now)
         while state.pending_events or state.changed_requests:
@@ -343,7 +347,7 @@
                 self._try_clean_up(now, request)
 
     def _try_clean_up(self, now: float, request: OpenRequest) -> None:
-        """A failure over one request costs no other its clean-up."""
+        """Cleans up one request; an exception does not affect the clean-up of other requests."""
         try:
             self._attempts.abort_unsent_attempts(now, request)
             self._lifecycle.clean_up(now, request)
@@ -351,7 +355,7 @@
             self.driver.log("clean_up_failed", id=request.id, error=repr(error))
 
     def _decide(self, now: float, events: list[Event]) -> list[Action]:
-        """If the policy raises, requests that it leaves open fail at their deadlines; the process goes on."""
+        """Runs the policy; if it raises, the requests that it leaves open fail at their deadlines."""
         try:
             return self.policy.handle(now, events)
         except Exception as error:
@@ -386,7 +390,7 @@
             case WriteLog():
                 self.driver.log("policy", text=action.text)
             case SetWatch() | FetchEndpoints() | MigrateStream():
-                pass  # this program always watches the list, and resumes no stream at another host
+                pass  # this process always watches the endpoint list, and resumes no streams at other hosts
 
     def _perform_for_request(
         self,
--- a/violetstack/core/endpoint_table.py
+++ b/violetstack/core/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint list as the core knows it."""
+"""The core's copy of the endpoint list."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class EndpointTable:
-    """Listed endpoints by host id, and which of them are draining.
+    """The listed endpoints by host id, and which of them are draining.
 
     Attributes:
-        endpoints: Endpoints by host id; the dictionary stays the same one over updates.
+        endpoints: Endpoints by host id; updates change this dictionary in place.
         draining: Ids of listed hosts that are draining.
         stateless_hosts: Ids of hosts that hold no state and take no reservations or releases.
     """
@@ -22,7 +22,10 @@
         self.stateless_hosts: set[str] = set()
 
     def update(self, update: EndpointUpdate) -> None:
-        """Applies an update. A removed host leaves nothing behind: hosts come with new ids all day long."""
+        """Applies an update.
+
+        Nothing is kept of a removed host: new hosts have new ids, so the table would grow without limit.
+        """
         if update.scope is not UpdateScope.DELTA:
             self.endpoints.clear()
         for endpoint in update.endpoints:
@@ -40,7 +43,7 @@
         return server in self.endpoints and server not in self.draining
 
     def is_prefill_host(self, server: str) -> bool:
-        """Returns whether the host is listed as one that prefills prompts and decodes none."""
+        """Returns whether the host is listed as a prefill host, which does not decode."""
         endpoint = self.endpoints.get(server)
         if endpoint is None or endpoint.kind >= len(self._roles):
             return False
--- a/violetstack/core/errors.py
+++ b/violetstack/core/errors.py
@@ -11,7 +11,7 @@
     """A request with the same id is still open."""
 
     def __init__(self, request_id: str) -> None:
-        """Creates the error for the id that is in use."""
+        """Creates the error for the id of the open request."""
         super().__init__(f"request {request_id!r} is still open")
         self.request_id = request_id
 
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, reason: str, status: int) -> None:
-        """Creates the error with the client's text and the HTTP status."""
+        """Creates the error with the text and the HTTP status for the client."""
         super().__init__(reason)
         self.reason = reason
         self.status = status
--- a/violetstack/core/execution.py
+++ b/violetstack/core/execution.py
@@ -1,4 +1,4 @@
-"""Which attempts of a request may be executed beside or after others, by its class's idempotency."""
+"""Decides whether a request may be executed again, by the idempotency of its class."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 
 class Execution(NamedTuple):
-    """An execution of a request that took place or may take place: when it was sent, and where to."""
+    """An attempt that has executed the request or may do so: when it was started, and its host's endpoint."""
 
     sent_at: float
     endpoint: Endpoint | None
 
 
 def may_execute(now: float, attempt: Attempt, spec: ClassSettings) -> bool:
-    """Returns whether the attempt may be executed now, given those that may run or may have run.
+    """Returns whether the attempt may be executed now, given the executions that may have taken place before.
 
-    Prefills have no effect, and idempotent requests may run any number of times. Others run once; with an
-    idempotency key they may be repeated within the deduplication window, at hosts that share its records.
+    Prefills have no effect, and idempotent requests may be executed any number of times. Other requests are
+    executed once; those with an idempotency key may be repeated within the deduplication window, at hosts
+    that share deduplication records with the first host.
     """
     if attempt.is_prefill or spec.idempotency is Idempotency.IDEMPOTENT:
         return True
@@ -37,7 +38,7 @@
     if request.may_have_run:
         yield Execution(request.first_execution_at, request.first_execution_endpoint)
     for other in request.in_flight.values():
-        # Of two that are both unwritten, the later one gives way.
+        # Of two attempts that are not written yet, only the one with the lower number may go on.
         precedes = other.request_written or other.number < attempt.number
         if other is not attempt and precedes and not other.is_prefill:
             yield Execution(other.sent_at, other.endpoint)
@@ -46,7 +47,7 @@
 def share_deduplication_records(
     first: Endpoint | None, second: Endpoint | None, scope: DeduplicationScope
 ) -> bool:
-    """Returns whether the second host drops a repetition of what the first has executed."""
+    """Returns whether the second host discards a request that the first host has executed."""
     if scope is DeduplicationScope.ALL:
         return True
     if first is None or second is None:
--- a/violetstack/core/hold_manager.py
+++ b/violetstack/core/hold_manager.py
@@ -1,4 +1,4 @@
-"""Releases what hosts hold for requests, in time: the one owner of holds, their timers and their releases."""
+"""Manages the holds of requests with their timers, and releases in time what hosts hold."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 from violetstack.policy_api import AttemptStatus
 
 RELEASE_LEAD_MS = 100.0
-"""What is held is released this long before it has to be, since the first host asked may not answer."""
+"""A release starts this long before the retention time ends, since the first host asked may not answer."""
 CONNECT_GRACE_MS = 100.0
-"""While a connection is to come up for an attempt that may take over what is held, a release waits until so
-long after the retention time. The rule allows 350 ms more than that time."""
+"""While an attempt that may claim held state is still connecting, the release is delayed until this long
+after
+the retention time. The rule on held state allows 350 ms after the retention time."""
 MAX_DELIVERY_MS = 60.0
-"""A host acknowledges what was written within this, or its connection has fallen silent."""
+"""A host acknowledges data within this time; if it does not, its connection counts as broken."""
 RELEASE_OVERDUE_MS = 300.0
-"""What is held may be released this long after the settings' time at the latest."""
+"""Held state that is not released this long after the retention time is a violation."""
 
 NOTHING_HELD_STATUSES = frozenset(
     {
@@ -27,26 +28,26 @@
         AttemptStatus.LOCAL_FAULT,
     }
 )
-"""After these, the host holds nothing of the attempt and has not executed it."""
+"""After these statuses the host holds nothing for the attempt and has not executed it."""
 ENDED_BY_HOST_STATUSES = frozenset(
     {AttemptStatus.OK, AttemptStatus.ERROR, AttemptStatus.REJECTED, AttemptStatus.PREFILLED}
 )
-"""After these, a host that runs has had the attempt."""
+"""After these statuses the host is known to have processed the attempt, so it is not frozen."""
 
 GiveUpUndelivered = Callable[[float, Attempt], None]
-"""Ends an attempt that its host has not acknowledged."""
+"""Callback that ends an attempt which its host has not acknowledged."""
 
 
 class HoldManager:
-    """Applies events to the holds of requests, and releases what nobody takes over in time."""
+    """Applies events to the holds of requests, and releases what no attempt claims in time."""
 
     def __init__(self, state: DispatcherState, give_up: GiveUpUndelivered) -> None:
-        """Creates it for a dispatcher's state; `give_up` ends attempts that have certainly not arrived."""
+        """Creates a manager without holds; `give_up` ends attempts that have not reached their host."""
         self._state = state
         self._give_up = give_up
 
     def apply(self, now: float, request: OpenRequest, event: HoldEvent) -> None:
-        """Takes an event into account, and times the hold anew where its clock has changed."""
+        """Applies an event to the request's hold, and reschedules its release if the clock has changed."""
         hold = request.hold
         before = (hold.state is HoldState.SETTLING, hold.unclaimed_since)
         hold.apply(now, event)
@@ -54,14 +55,14 @@
             self._schedule_release(now, request)
 
     def connect_timeout_ms(self, now: float, request: OpenRequest) -> float | None:
-        """Returns how long a connection may take that is to take over what is held; None if nothing is."""
+        """Returns how long the connect of an attempt that claims the hold may take; None without a hold."""
         hold = request.hold
         retention_ms = self._state.settings.state_retention_ms
         if hold.unclaimed_since is None or hold.state is HoldState.SETTLING or not retention_ms:
             return None
         return hold.unclaimed_since + retention_ms - now
 
-    # --- the clock ---
+    # --- timers ---
 
     def _schedule_release(self, now: float, request: OpenRequest, not_before_ms: float = 0.0) -> None:
         hold = request.hold
@@ -86,11 +87,12 @@
             request.hold_timer = timers.schedule(due_at, lambda at: callback(at, request))
 
     def _release_due(self, now: float, request: OpenRequest) -> None:
-        """Has what is held released, beside the attempts that are in flight.
+        """Releases what is held, even while attempts are in flight.
 
-        Only an attempt that its host has begun takes it over, and whether one has, only hosts know: a host
-        that is frozen acknowledges all that is written to it. A release lets go of what no attempt waits for,
-        so it does no harm to one that has begun. An attempt that has certainly not arrived is given up.
+        Held state is claimed only by an attempt that its host has begun, and only the host knows whether it
+        has: the kernel of a frozen host acknowledges everything that is written to it. A release does not
+        affect an attempt that a host has begun, since it frees only what no attempt waits for. An attempt
+        that has certainly not reached its host is given up.
         """
         wait_until = self._delivery_uncertain_until(now, request)
         if wait_until > now:
@@ -101,7 +103,7 @@
             if attempt.awaits_response and not self._state.driver.is_acknowledged(attempt):
                 self._give_up(now, attempt)
         if request.hold.unclaimed_since is None:
-            return  # the end of the last attempt settled it
+            return  # the end of the last attempt has cleared the hold
         self._start_release(now, request)
         overdue_at = (
             request.hold.unclaimed_since + self._state.settings.state_retention_ms + RELEASE_OVERDUE_MS
@@ -109,12 +111,12 @@
         self._schedule(request, max(now, overdue_at), self._release_overdue)
 
     def _repeat_release_after_close(self, now: float, request: OpenRequest) -> None:
-        """The end of the request's last attempt has reached its host by now."""
+        """Repeats the release once the host has noticed the end of the request's last attempt."""
         request.hold_timer = None
         self._start_release(now, request)
 
     def _delivery_uncertain_until(self, now: float, request: OpenRequest) -> float:
-        """Until when an attempt that takes over what is held may still arrive at a host that runs."""
+        """Returns until when an attempt that claims what is held may still reach a host that is running."""
         assert request.hold.unclaimed_since is not None
         connecting_until = (
             request.hold.unclaimed_since + self._state.settings.state_retention_ms + CONNECT_GRACE_MS
@@ -143,7 +145,7 @@
         )
 
     def _release_overdue(self, now: float, request: OpenRequest) -> None:
-        """Nobody has taken over or released what is held."""
+        """Reports that what is held was neither claimed nor released in time."""
         request.hold_timer = None
         self._state.invariants.record_release_overdue(now, request)
 
@@ -152,7 +154,7 @@
     def release(self, now: float, request: OpenRequest) -> None:
         """Releases what hosts may hold for the request, unless a release that covers it is in flight.
 
-        What an attempt in flight waits for stays with its host.
+        Hosts keep what an attempt in flight waits for.
         """
         if request.hold.needs_release:
             self._start_release(now, request)
@@ -173,7 +175,7 @@
         self._state.driver.release_state(call)
 
     def repeat_release(self, now: float, request: OpenRequest) -> None:
-        """A slot may have been taken after a release that is in flight, so one more release follows."""
+        """Starts another release, since a slot may have been reserved after the release that is in flight."""
         current_release = request.release
         if current_release is None or current_release.superseded:
             return
@@ -181,12 +183,12 @@
         self.release(now, request)
 
     def mark_release_superseded(self, request: OpenRequest) -> None:
-        """An attempt is being written: a release that is written later would release its state as well."""
+        """Marks a release in flight as superseded; sent after an attempt, it would free its state."""
         if request.release is not None:
             request.release.superseded = True
 
     def release_finished(self, now: float, call: ReleaseCall, done: bool) -> None:
-        """A release ended; not `done` means that the driver gave it up, and the hosts' expiry has to do."""
+        """Records the end of a release; if not `done`, no host took it and the state is left to expire."""
         request = call.request
         if request.release is call:
             request.release = None
@@ -204,7 +206,7 @@
             self._state.driver.log("release_abandoned", id=request.id)
             self.apply(now, request, HoldEvent.ABANDONED)
         elif _is_outdated(call):
-            return  # what the attempt has left since is still held
+            return  # the state left by the attempt that has ended since is still held
         elif any(attempt.request_written for attempt in request.in_flight.values()):
             self.apply(now, request, HoldEvent.RELEASED_BESIDE_ATTEMPT)
         elif call.started_at < request.attempt_closed_at + MAX_DELIVERY_MS:
@@ -217,9 +219,9 @@
     # --- attempts ---
 
     def attempt_ended(self, now: float, attempt: Attempt, status: AttemptStatus) -> None:
-        """Records what hosts may hold after an attempt. A prefill may succeed as its connection breaks.
+        """Records what hosts may hold after an attempt; a prefill may succeed even if its connection breaks.
 
-        Only a host's word shows that it had begun the attempt, and that the time counts from its end.
+        Only a response shows that the host had begun the attempt; then the clock of the hold restarts now.
         """
         ended_by_host = attempt.answered or status in ENDED_BY_HOST_STATUSES
         if attempt.request_written and not ended_by_host:
@@ -232,7 +234,7 @@
         self.apply(now, attempt.request, event)
 
     def stream_started(self, now: float, attempt: Attempt) -> None:
-        """The host that streams has taken over what was held, unless it holds nothing itself."""
+        """Records that the streaming host has claimed what was held, unless that host holds no state."""
         request = attempt.request
         if request.reservations_in_flight:
             if request.hold.may_be_held:
@@ -243,5 +245,5 @@
 
 
 def _is_outdated(call: ReleaseCall) -> bool:
-    """Whether an attempt has ended since the release began: what it has left may not be covered."""
+    """Returns whether an attempt has ended since the release started, which may not cover its state."""
     return not call.attempts_at_start <= call.request.in_flight.keys()
--- a/violetstack/core/invariants.py
+++ b/violetstack/core/invariants.py
@@ -1,8 +1,9 @@
-"""Checks of the operators' rules at run time, independent of the code that has to keep them.
+"""Checks the operators' rules at run time, independently of the code that has to keep them.
 
-Each rule has one check at the place where it would be broken: as the first or the last byte of an attempt is
-written, as a request gets its response, as its record is closed. A violation changes nothing; it is counted
-by rule for the admin metrics, and logged with the request, the attempt, the host and the request's course.
+Each rule is checked where it would be broken: when the first or the last byte of an attempt is written, when
+a request gets its response, and when its record is closed. A violation has no effect on requests; it is
+counted by rule for the admin metrics and logged with the request, the attempt, the host and the request's
+history.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 from violetstack.policy_api import ClassSettings, Idempotency, Settings
 
 LATE_ANSWER_MS = 500.0
-"""An answer that comes later than this after the deadline counts as none."""
+"""A response that is sent later than this after the deadline counts as missing."""
 DEADLINE_SLACK_MS = 150.0
-"""What a host is told may exceed what is left to the client by this much."""
+"""The remaining time that is sent to a host may exceed the client's remaining time by this much."""
 MAX_SCHEDULING_DELAY_MS = 150.0
-"""The system may hold a process up for so long between reading its clock and writing."""
+"""The operating system may suspend a process for this long between reading the clock and writing."""
 HELD_STATE_SLACK_MS = 300.0
-"""State that hosts hold has to be released this long after the settings' time at the latest."""
+"""State that hosts hold has to be released at the latest this long after the retention time."""
 MAX_LOGGED = 20
-"""Violations of one rule that are logged in full; all are counted."""
+"""Number of violations of one rule that are logged; further ones are only counted."""
 OWN_RESPONSE_OUTCOMES = frozenset(
     {
         RequestOutcome.REJECTED,
@@ -34,62 +35,68 @@
         RequestOutcome.DEADLINE_EXCEEDED,
     }
 )
-"""Responses that the dispatcher makes itself, and that are due by the deadline."""
+"""Outcomes whose response the dispatcher makes itself, so that it is due by the deadline."""
 
 
 class Rule(StrEnum):
-    """The operators' rules; the values are their names in the protocol page."""
+    """The operators' rules; the values are their names in the log, the metrics and the protocol page."""
 
     LOST = "lost"
-    """Every request gets its final answer in time, and nothing is sent for a client that has gone."""
+    """Requests get their final response in time; nothing is sent for one that is over or lost its client."""
     FINAL_ANSWER = "final_answer"
-    """It gets one."""
+    """Each request gets exactly one final response."""
     DUPLICATE = "duplicate"
-    """What may not be repeated is executed once."""
+    """A request that may not be repeated is executed once."""
     DRAIN = "drain"
-    """Nothing is sent to a host that is draining or removed."""
+    """No attempt is started at a host that is draining or removed."""
     DEADLINE = "deadline"
-    """No host is told more time than the client has left."""
+    """No host is given more time than the client has left."""
     HELD_STATE = "held"
-    """What hosts hold for a request is taken or released in time."""
+    """State that hosts hold for a request is claimed or released in time."""
 
 
 class InvariantChecker:
-    """Counts and logs violations.
+    """Checks the rules, and counts and logs violations.
 
     Attributes:
-        violations: Number of violations by rule, since the start.
+        violations: Number of violations by rule since the process started.
     """
 
     def __init__(self, settings: Settings, log: Callable[..., None]) -> None:
-        """Creates a checker without violations; `log` writes a log line."""
+        """Creates a checker without violations, which logs them by `log`."""
         self.violations: Counter[Rule] = Counter()
         self._settings = settings
         self._log = log
         self._paused_until = float("-inf")
 
     def process_paused(self, now: float) -> None:
-        """The process did not run until now: answers that were due meanwhile are late by no fault of its."""
+        """Records that the process has not run until now: responses due in the pause may be late."""
         self._paused_until = now
 
     # --- sending ---
 
     def check_first_byte(self, now: float, attempt: Attempt, *, host_accepts_requests: bool) -> None:
-        """The first byte of an attempt is written in this step."""
+        """Checks an attempt whose first byte is written in this step."""
         request = attempt.request
         if not host_accepts_requests:
             self._record_violation(Rule.DRAIN, request, attempt, "the host is draining or removed")
         if not request.accepts_attempts:
-            self._record_violation(Rule.LOST, request, attempt, "sent for a request that is over")
+            self._record_violation(
+                Rule.LOST, request, attempt, "sent although the request is over or its client is gone"
+            )
         if attempt.deadline > request.deadline + DEADLINE_SLACK_MS:
-            self._record_violation(Rule.DEADLINE, request, attempt, "told more than the client has left")
+            self._record_violation(
+                Rule.DEADLINE, request, attempt, "the host is given more time than the client has left"
+            )
         attempt.first_byte_at = now
 
     def check_last_byte(self, now: float, attempt: Attempt) -> None:
-        """The last byte of an attempt is written in this step, and a host may execute it from now on."""
+        """Checks an attempt whose last byte is written in this step; a host may execute it from now on."""
         request = attempt.request
         if now - attempt.first_byte_at > DEADLINE_SLACK_MS + MAX_SCHEDULING_DELAY_MS:
-            self._record_violation(Rule.DEADLINE, request, attempt, "what was told is out of date")
+            self._record_violation(
+                Rule.DEADLINE, request, attempt, "the deadline given to the host is out of date"
+            )
         if attempt.is_prefill:
             return
         spec = self._settings.classes[request.policy_request.class_index]
@@ -98,23 +105,25 @@
         request.executions.append(WrittenExecution(attempt.number, now, attempt.endpoint))
 
     def discard_execution(self, attempt: Attempt) -> None:
-        """A host says that it has not executed the attempt, or the attempt never reached it."""
+        """Removes a recorded execution that did not happen: the host rejected the attempt or never got it."""
         request = attempt.request
         request.executions = [each for each in request.executions if each.attempt_number != attempt.number]
 
-    # --- answers and ends ---
+    # --- responses and the end of records ---
 
     def check_final_response(self, now: float, request: OpenRequest, outcome: RequestOutcome) -> None:
-        """The request gets its final response, or its client is gone; called before that is recorded."""
+        """Checks a request that gets its final response or lost its client, before this is recorded."""
         if request.done:
-            self._record_violation(Rule.FINAL_ANSWER, request, None, f"{outcome.value} after another answer")
+            self._record_violation(
+                Rule.FINAL_ANSWER, request, None, f"{outcome.value} after another final response"
+            )
         late_ms = now - request.deadline
         paused = self._paused_until >= request.arrived_at
         if outcome in OWN_RESPONSE_OUTCOMES and late_ms > LATE_ANSWER_MS and not paused:
             self._record_violation(Rule.LOST, request, None, f"answered {late_ms:.0f} ms after its deadline")
 
     def record_release_overdue(self, now: float, request: OpenRequest) -> None:
-        """Called while something is held that should have been taken over or released by now."""
+        """Records that hosts may still hold state that should have been claimed or released by now."""
         since = request.hold.unclaimed_since
         if since is not None and self._paused_until < since:
             held_ms = now - since
@@ -122,15 +131,15 @@
             self._record_violation(Rule.HELD_STATE, request, None, detail)
 
     def record_release_abandoned(self, request: OpenRequest) -> None:
-        """No host took the release."""
+        """Records that no host took the release."""
         self._record_violation(Rule.HELD_STATE, request, None, "no host took the release")
 
     def check_closed(self, request: OpenRequest) -> None:
-        """The request's record is closed."""
+        """Checks a request whose record is closed."""
         if request.outcome is None:
-            self._record_violation(Rule.LOST, request, None, "closed without an answer")
+            self._record_violation(Rule.LOST, request, None, "closed without a final response")
         if request.hold.may_be_held:
-            self._record_violation(Rule.HELD_STATE, request, None, "closed while hosts may hold its state")
+            self._record_violation(Rule.HELD_STATE, request, None, "closed while hosts may hold state for it")
 
     def _record_violation(
         self, rule: Rule, request: OpenRequest, attempt: Attempt | None, detail: str
@@ -142,7 +151,7 @@
 
 
 def _may_execute_again(now: float, attempt: Attempt, spec: ClassSettings) -> bool:
-    """Whether the class allows one more execution now, after those that were written before."""
+    """Returns whether the class allows one more execution now, given the executions written before."""
     executions = attempt.request.executions
     if not executions or spec.idempotency is Idempotency.IDEMPOTENT:
         return True
@@ -156,7 +165,7 @@
 
 
 def _log_fields(request: OpenRequest, attempt: Attempt | None) -> dict[str, Any]:
-    """What led to a violation, for the log."""
+    """Returns the log fields that show how a violation came about."""
     return {
         "id": request.id,
         "cls": request.policy_request.class_index,
--- a/violetstack/core/lifecycle.py
+++ b/violetstack/core/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: acceptance, one final response, and the end of its record."""
+"""The life cycle of requests: acceptance, the final response, and the end of the record."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     """Accepts requests, gives each exactly one final response, and closes its record."""
 
     def __init__(self, state: DispatcherState, hold_manager: HoldManager, retry_after: RetryAfter) -> None:
-        """Creates it for a dispatcher's state; `retry_after` adjusts the advice of rejections."""
+        """Creates a life cycle manager; `retry_after` adjusts the retry time that rejections advise."""
         self._state = state
         self._hold_manager = hold_manager
         self._retry_after = retry_after
 
     def accept(self, now: float, policy_request: Request, sink: Sink, payload: object) -> OpenRequest:
-        """Opens a request and hands it to the policy.
+        """Opens a request and passes it to the policy.
 
         Raises:
             DuplicateRequestError: A request with the same id is open.
@@ -39,9 +39,9 @@
         return request
 
     def adopt(self, now: float, stream: MigratedStream, sink: Sink) -> Attempt:
-        """Opens a request whose stream another process began.
+        """Opens a request whose stream was started by another process.
 
-        The policy gets no event of it, since nothing is left to decide.
+        The policy gets no event for it, since there is nothing left to decide.
         """
         policy_request = Request(
             id=stream.id,
@@ -85,9 +85,9 @@
             state.router.request_accepted(now, request.policy_request)
 
     def reject(self, now: float, request_id: str, retry_after_ms: float) -> None:
-        """Answers that a retry does no harm; the policy advises to wait for `advised_ms`.
+        """Rejects the request, so that the client may safely retry; the policy advises `retry_after_ms`.
 
-        Does nothing if the request has a response.
+        Does nothing if the request already has a response.
         """
         request = self._without_response(request_id)
         if request is not None:
@@ -95,18 +95,18 @@
             self._state.notify(request.sink.rejected, self._retry_after(retry_after_ms))
 
     def fail(self, now: float, request_id: str) -> None:
-        """Answers that the request failed. Does nothing if the request has a response."""
+        """Fails the request. Does nothing if the request already has a response."""
         request = self._without_response(request_id)
         if request is not None:
             self.finish_failed(now, request, RequestOutcome.FAILED)
 
     def finish_failed(self, now: float, request: OpenRequest, outcome: RequestOutcome) -> None:
-        """Ends the request, and answers that it failed."""
+        """Ends the request with `outcome`, and reports the failure to the client."""
         self.finish(now, request, outcome)
         self._state.notify(request.sink.failed, request.may_have_run_or_is_running)
 
     def finish(self, now: float, request: OpenRequest, outcome: RequestOutcome) -> None:
-        """Ends the request: its final response is decided, or its client is gone."""
+        """Ends the request: its final response is known, or its client is gone."""
         state = self._state
         state.invariants.check_final_response(now, request, outcome)
         request.done = True
@@ -123,7 +123,7 @@
         return None if request is None or request.has_response else request
 
     def _deadline_exceeded(self, now: float, request: OpenRequest) -> None:
-        """The policy ends a request before its deadline; if it did not, the client still gets a response."""
+        """Fails a request that the policy did not end before its deadline, so the client gets a response."""
         if request.has_response:
             return
         self._state.driver.log("request_overdue", id=request.id)
@@ -131,11 +131,11 @@
         self._state.pending_events.append(ClientDisconnected(request.id))
 
     def clean_up(self, now: float, request: OpenRequest) -> None:
-        """Releases what hosts hold for a request that is over, then closes its record."""
+        """Releases what hosts hold for a request that is over, and closes its record once that is done."""
         if not request.done or request.in_flight:
             return
         if request.hold.needs_release:
-            # A reservation that is in flight needs one more release after it.
+            # If a reservation is in flight, another release follows after it.
             self._hold_manager.release(now, request)
         elif request.release is None and not (request.reservations_in_flight or request.hold.may_be_held):
             self._close(now, request)
--- a/violetstack/core/metrics.py
+++ b/violetstack/core/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of how requests ended, by class, since the process started."""
+"""Counters of requests and their outcomes by class, since the process started."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
     """Counters of one class of requests.
 
     Attributes:
-        accepted: Requests that were accepted or shed.
+        accepted: Requests that were accepted, shed or adopted from another process.
         fulfilled: Complete responses.
         throttled: Rejected or shed requests.
-        faulted: Every other end: failed, truncated, past the deadline, or invalid for the host.
+        faulted: All other outcomes: failed, truncated, past the deadline, or invalid for the host.
         client_disconnected: The client closed its connection before the response was complete.
     """
 
@@ -26,7 +26,7 @@
 
     @property
     def open(self) -> int:
-        """Requests without an end."""
+        """Number of requests that have not ended."""
         return self.accepted - self.fulfilled - self.throttled - self.faulted - self.client_disconnected
 
 
@@ -35,11 +35,11 @@
 
     Attributes:
         classes: Counters by class index.
-        requests_written: Attempts whose last byte was written, prefills and hedged requests included.
+        requests_written: Attempts whose last byte was written, including prefills and hedged requests.
     """
 
     def __init__(self, class_count: int) -> None:
-        """Creates counters of zero."""
+        """Creates counters that are all zero."""
         self.classes = [ClassMetrics() for _ in range(class_count)]
         self.requests_written = 0
 
@@ -48,7 +48,7 @@
         self.classes[class_index].accepted += 1
 
     def request_finished(self, class_index: int, outcome: RequestOutcome) -> None:
-        """Counts the end of a request. A migrated stream counts in the process that took it over, alone."""
+        """Counts the end of a request; a migrated stream is counted only by the process that adopts it."""
         metrics = self.classes[class_index]
         match outcome:
             case RequestOutcome.MIGRATED:
@@ -64,5 +64,5 @@
 
     @property
     def open(self) -> int:
-        """Requests without an end, over all classes."""
+        """Number of requests of all classes that have not ended."""
         return sum(metrics.open for metrics in self.classes)
--- a/violetstack/core/records.py
+++ b/violetstack/core/records.py
@@ -1,4 +1,4 @@
-"""Records of an open request, its attempts, and the calls made to hosts on its behalf."""
+"""Records of open requests, their attempts, and the other calls that are made to hosts for them."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class RequestOutcome(StrEnum):
-    """How a request ended. The values are those of the log's `answer` field."""
+    """How a request ended; the values are those of the log field `answer`."""
 
     COMPLETED = "served"
     REJECTED = "refused"
     SHED = "shed"
     FAILED = "failed"
     INVALID = "unusable"
-    """A host says that the request itself is at fault."""
+    """A host has reported the request as invalid."""
     DEADLINE_EXCEEDED = "overdue"
     TRUNCATED = "cut"
     """The stream broke after its first event."""
@@ -32,7 +32,7 @@
 
 
 class ReservationOutcome(StrEnum):
-    """What a host answered to a reservation. The values are those of the log's `places` field."""
+    """A host's answer to a reservation; the values are those of the log field `places`."""
 
     RESERVED = "held"
     NOT_RESERVED = "not_held"
@@ -40,7 +40,7 @@
 
 
 class ClosedSink:
-    """Takes the place of the sink of a closed request, and ignores every call."""
+    """Replaces the sink of a closed request and ignores all calls."""
 
     def stream_started(self) -> None:
         """Does nothing."""
@@ -61,7 +61,7 @@
         """Does nothing."""
 
     def is_client_disconnected(self) -> bool:
-        """Returns True: the client has its response."""
+        """Returns True, since the client has its response."""
         return True
 
 
@@ -69,7 +69,7 @@
 
 
 class AttemptLogEntry(msgspec.Struct, frozen=True):
-    """One finished attempt, for the request's log line; `withheld` says why nothing was sent."""
+    """A finished attempt in the log line of its request; see `Attempt` for `withhold_reason`."""
 
     server: str
     status: AttemptStatus
@@ -77,20 +77,20 @@
     withhold_reason: str = ""
 
     def as_row(self) -> tuple[str | int, ...]:
-        """Returns the entry as the log has it: host, status, milliseconds, and why it was withheld."""
+        """Returns the entry as it is logged: host, status, duration in ms, and the withhold reason if any."""
         row = (self.server, self.status.value, self.duration_ms)
         return (*row, self.withhold_reason) if self.withhold_reason else row
 
 
 class ReservationLogEntry(msgspec.Struct, frozen=True):
-    """One finished reservation, for the request's log line."""
+    """A finished reservation in the log line of its request."""
 
     server: str
     outcome: ReservationOutcome
 
 
 class WrittenExecution(NamedTuple):
-    """An attempt with an effect whose last byte was written: its number, when that was, and where to."""
+    """A completely written attempt that is not a prefill: its number, the time, and its host's endpoint."""
 
     attempt_number: int
     written_at: float
@@ -101,20 +101,21 @@
     """One attempt of a request at one host. Times are in milliseconds.
 
     Attributes:
-        request: The request that it belongs to.
-        number: Attempts of a request are numbered from 0.
+        request: The request that the attempt belongs to.
+        number: Number of the attempt within the request, from 0.
         server: Id of the host.
         endpoint: The host's entry in the endpoint list when the attempt was started.
-        is_prefill: Whether the host only prefills the prompt, which has no effect of its own.
+        is_prefill: Whether the host only prefills the prompt, which may be repeated without effect.
         sent_at: When the attempt was started.
         deadline: When it times out.
-        request_written: Set by the driver in the step in which the last byte may have left, never before.
+        request_written: Whether the last byte may have been sent; the driver sets it in that step, never
+            earlier.
         first_byte_at: When its first byte was written.
         written_at: When its last byte was handed to the kernel.
-        withheld: Why nothing, or not all of it, was sent.
+        withhold_reason: Why the attempt was not sent, or not completely; empty if it was.
         stream_started: Whether the first event of its response was accepted.
-        events_forwarded: Number of events that went to the client.
-        answered: Whether its host has answered it, with whatever status.
+        events_forwarded: Number of events that were forwarded to the client.
+        answered: Whether its host has responded, with any status.
         finished: Whether its outcome is known.
         timer: The timer of its deadline.
     """
@@ -138,18 +139,18 @@
 
     @property
     def awaits_response(self) -> bool:
-        """Whether it was written, and its host has not begun to stream."""
+        """Whether it was completely written and its host has not begun to stream."""
         return self.request_written and not self.stream_started and not self.finished
 
 
 class ReservationCall(msgspec.Struct, eq=False):
-    """Reserves a decode slot while the prompt is prefilled.
+    """The reservation of a decode slot while the prompt is prefilled.
 
     Attributes:
         request: The request that the slot is for.
         server: Id of the decode host.
-        attempt: The prefill attempt that the reservation goes along with, if one is in flight.
-        written_at: When its last byte was handed to the kernel, in milliseconds; None if it was not.
+        attempt: The prefill attempt that the reservation accompanies, if one is in flight.
+        written_at: When its last byte was handed to the kernel, in milliseconds; None before that.
     """
 
     request: OpenRequest
@@ -159,14 +160,14 @@
 
 
 class ReleaseCall(msgspec.Struct, eq=False):
-    """Releases the prefilled state and the reservations that hosts hold for a request.
+    """The release of the prefilled state and the decode slots that hosts hold for a request.
 
     Attributes:
         request: The request that they are held for.
-        since: When the release was first wanted, in milliseconds.
-        superseded: An attempt or a reservation was sent since: its own end settles what is held then.
-        beside: Numbers of the attempts that were in flight when it began: what one of them waits for, its
-            host has kept, and it is released once more after the attempt's end.
+        started_at: When the release was started, in milliseconds.
+        superseded: Whether an attempt or a reservation was sent since then; its end decides what is held.
+        attempts_at_start: Numbers of the attempts that were in flight when the release was started. Hosts
+            keep what such an attempt waits for, so another release follows after the attempt's end.
     """
 
     request: OpenRequest
@@ -176,44 +177,46 @@
 
 
 def always_allowed() -> bool:
-    """Returns True."""
+    """Returns True: the default for `OpenRequest.sending_allowed`."""
     return True
 
 
 class OpenRequest(msgspec.Struct, eq=False):
-    """One request, from its acceptance until no host holds anything for it. Times are in milliseconds.
+    """A request, from its acceptance until no host holds anything for it. Times are in milliseconds.
 
     Attributes:
         policy_request: The request as the policy sees it.
-        sink: Where its response goes.
-        payload: The front's message for the driver; opaque to the core.
+        sink: Receives its response.
+        payload: The front's data for the driver; opaque to the core.
         arrived_at: When it was accepted.
         deadline: When its client gives up.
         in_flight: Unfinished attempts by number.
         attempts_sent: Number of attempts that were started.
-        committed_attempt: The attempt whose stream goes to the client.
-        sending_allowed: Asked in each step that writes a part of an attempt; False keeps the rest unsent.
-        survives_disconnect: An attempt that a host may be executing goes on without its client, for a retry
-            to find.
+        committed_attempt: The attempt whose stream is forwarded to the client.
+        sending_allowed: Called in each step that writes a part of an attempt; if it returns False, the rest
+            is not sent.
+        survives_disconnect: Whether an attempt that a host may be executing continues after the client has
+            disconnected, so that the client's retry finds the response.
         client_disconnected: Whether its client has closed the connection.
         done: Whether it has its final response.
-        may_have_run: Whether an attempt that has an effect may have reached a host and finished since.
-        first_run_at: When the first such attempt was sent.
-        first_run_endpoint: The host that it was sent to.
-        closed_at: When the connection of an attempt was closed without the host's word.
+        may_have_run: Whether a host may have executed a finished attempt; prefills do not count.
+        first_execution_at: When the first such attempt was started.
+        first_execution_endpoint: The host of that attempt.
+        attempt_closed_at: When the connection of an attempt was last closed before the host responded.
         hold: What hosts may hold for it.
-        hold_timer: The timer of what is held, while its clock runs.
+        hold_timer: The timer of the next release or check of the hold, while its clock runs.
         reservations_in_flight: Number of unfinished reservations.
         reservations_unanswered: Number of those that were written.
         release: The release that is in flight.
         deadline_timer: The timer of its deadline.
         outcome: How it ended; None while it is open.
-        answered_at: When it ended.
+        finished_at: When it ended.
         first_event_at: When the first event of its response was forwarded; 0 if none was.
         reservation_log: Finished reservations, for the log.
         attempt_log: Finished attempts, for the log.
-        executions: Attempts with an effect that were written, but for those that certainly did not run; for
-            the check of the rule on repeated execution, which must not rely on the code that keeps it.
+        executions: Completely written attempts other than prefills, except those that were certainly not
+            executed. Only for the invariant check on repeated execution, which must not rely on the code that
+            it checks.
     """
 
     policy_request: Request
@@ -247,22 +250,22 @@
 
     @property
     def id(self) -> str:
-        """The request's id."""
+        """Id of the request."""
         return self.policy_request.id
 
     @property
     def has_response(self) -> bool:
-        """Whether the request is over, or its client already receives a stream."""
+        """Whether the request is over or its client already receives a stream."""
         return self.done or self.committed_attempt is not None
 
     @property
     def accepts_attempts(self) -> bool:
-        """Whether anything may still be sent for it: it has no response, and its client waits for one."""
+        """Whether attempts may still be sent: the request has no response and its client waits for one."""
         return not self.has_response and not self.client_disconnected
 
     @property
     def executing(self) -> bool:
-        """Whether a host may be executing the request: an attempt with an effect is written and in flight."""
+        """Whether a host may be executing the request; prefills do not count."""
         return any(each.request_written and not each.is_prefill for each in self.in_flight.values())
 
     @property
@@ -271,7 +274,7 @@
         return self.may_have_run or self.executing
 
     def unresponsive_hosts(self) -> set[str]:
-        """Returns the hosts that have not answered an attempt of this request, so far or at all."""
+        """Returns the hosts that have not responded to an attempt of this request yet, or have timed out."""
         silent = {attempt.server for attempt in self.in_flight.values() if attempt.awaits_response}
         silent.update(entry.server for entry in self.attempt_log if entry.status is AttemptStatus.TIMEOUT)
         return silent
@@ -279,8 +282,8 @@
     def close(self) -> None:
         """Drops the references to the front and the connection.
 
-        They point back to this record; without this, the memory is held until a garbage collection finds the
-        cycle.
+        They refer back to this record, so otherwise the memory would not be freed before the garbage
+        collector finds the cycle.
         """
         self.sink = CLOSED_SINK
         self.payload = None
--- a/violetstack/core/remote_hold.py
+++ b/violetstack/core/remote_hold.py
@@ -1,14 +1,15 @@
 """What model hosts may hold for one request: prefilled state, and reserved decode slots.
 
-A hold has a life of its own, beside the attempts of its request. It begins when a host may hold something: as
-a reservation is written, or as a prefill that had reached its host ends. From then on a clock runs. Only what
-is known stops it: a host that has begun an attempt, a stream that has started, a release that a host took.
-That an attempt was written stops nothing, since a host that begins nothing takes nothing over.
+A hold is tracked separately from the attempts of its request. It begins when a host may hold something: when
+a reservation is written, or when a prefill that has reached its host ends. From then on its clock measures
+for how long the state has been unclaimed. The clock stops only if it is certain that a host has begun an
+attempt that claims the state, that a stream has started, or that a host took a release. An attempt that was
+written does not stop it, since its host may never begin the attempt.
 
-The rule: while no attempt is in flight, what is held is taken over or released within
-`Settings.state_retention_ms`, counted from the last outcome or reservation.
+The rule: while no attempt is in flight, held state is claimed or released within
+`Settings.state_retention_ms` after the last outcome or reservation.
 
-Nothing here does I/O or reads a clock. Times are in milliseconds.
+This module does no I/O and reads no clock. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -20,65 +21,65 @@
 
 
 class HoldState(StrEnum):
-    """What hosts may hold; the values are those of the log and of the admin API."""
+    """What hosts may hold; the values are those in the log and the admin API."""
 
     NOTHING = "nothing"
     RESERVATION_UNANSWERED = "asked"
-    """A reservation was written and is not answered yet; apart from it nothing is held."""
+    """A reservation was written and not answered yet; nothing else is held."""
     UNCLAIMED = "unclaimed"
-    """Something may be held, and no attempt is known to have begun that takes it over."""
+    """Something may be held, and no host is known to have begun an attempt that claims it."""
     CLAIMED = "claimed"
-    """What is held belongs to an attempt that its host has begun."""
+    """What is held is used by an attempt that its host has begun."""
     SETTLING = "settling"
-    """Released, but the end of an attempt may reach its host after the release: one more release follows."""
+    """Released, but a host may notice the end of an attempt later, so another release follows."""
 
 
 class HoldEvent(StrEnum):
-    """What happens to a hold; the values are those of the log."""
+    """An event that may change a hold; the values are those in the log."""
 
     RESERVATION_WRITTEN = "reservation written"
     """The last byte of a reservation was handed to the kernel."""
     SLOT_CONFIRMED = "slot confirmed"
-    """The decode host has reserved a slot and knows of the prefill that is in flight."""
+    """The decode host has reserved a slot for the prefill that is in flight."""
     SLOT_UNCERTAIN = "slot uncertain"
-    """A reservation ended, and a slot may be reserved that no attempt in flight is known to take over."""
+    """A reservation ended, and a slot may be reserved that no attempt in flight is known to claim."""
     SLOT_REFUSED = "slot refused"
     """The decode host has certainly reserved nothing, and no other reservation is unanswered."""
     STATE_LEFT = "state left"
-    """A host has ended a prefill that may have left state."""
+    """A host has finished a prefill that may have left state."""
     STATE_UNCERTAIN = "state uncertain"
-    """A prefill ended without its host's word; the host may not have begun it, or have left state."""
+    """A prefill ended without a response; its host may hold state, or may never have begun the prefill."""
     ATTEMPT_ENDED = "attempt ended"
-    """A host has ended another attempt."""
+    """A host has ended an attempt that left no state."""
     ATTEMPT_GIVEN_UP = "attempt given up"
-    """Another attempt ended without its host's word: the host may never have begun it."""
+    """An attempt that left no state ended without a response; its host may never have begun it."""
     STREAM_STARTED = "stream started"
-    """The host that streams has taken over all that was held."""
+    """The host that streams has claimed everything that was held."""
     STREAM_STARTED_EARLY = "stream started before a reservation was answered"
     RELEASED = "released"
-    """A host took a release, and no attempt is in flight that could keep anything."""
+    """A host took a release, and no attempt is in flight that could still use anything."""
     RELEASED_EARLY = "released right after an attempt was ended"
-    """A host took a release that may have overtaken the end of an attempt on its way to another host."""
+    """A host took a release that may have reached other hosts before the end of an attempt did."""
     RELEASED_BESIDE_ATTEMPT = "released beside an attempt"
-    """A host took a release: what is held still is what an attempt waits for that its host has begun."""
+    """A host took a release; only what an attempt in flight waits for is still held."""
     RELEASED_BEFORE_ANSWER = "released before a reservation was answered"
-    """A host took a release, but an unanswered reservation may take a slot after it."""
+    """A host took a release, but an unanswered reservation may still reserve a slot afterwards."""
     ABANDONED = "abandoned"
-    """No host took the release in time; hosts let go of what they hold after a while."""
+    """No host took the release in time; hosts free what they hold after its retention time."""
 
 
 class ClockEffect(StrEnum):
-    """What an event does to the clock of a hold."""
+    """The effect of an event on the clock of a hold."""
 
     KEEPS = "keeps"
     STARTS = "starts"
-    """If it is not running."""
+    """Starts the clock unless it is running."""
     RESTARTS = "restarts"
     STOPS = "stops"
 
 
 class Transition(msgspec.Struct, frozen=True):
-    """The state after an event, and what the event does to the clock."""
+    """The state of a hold after an event, and the effect of the event on the clock."""
 
     state: HoldState
     clock: ClockEffect
@@ -101,12 +102,12 @@
         HoldState.RESERVATION_UNANSWERED: _RESERVATION_UNANSWERED,
         HoldState.UNCLAIMED: _UNCLAIMED,
         HoldState.CLAIMED: _UNCLAIMED,
-        HoldState.SETTLING: _RESERVATION_UNANSWERED,  # a second reservation gives the first one up
+        HoldState.SETTLING: _RESERVATION_UNANSWERED,  # a second reservation replaces the first one
     },
     HoldEvent.SLOT_CONFIRMED: {
-        HoldState.NOTHING: _UNCLAIMED,  # it overtook a release
+        HoldState.NOTHING: _UNCLAIMED,  # a release was sent before it
         HoldState.RESERVATION_UNANSWERED: _CLAIMED,
-        HoldState.UNCLAIMED: _UNCLAIMED,  # there is more than the slot
+        HoldState.UNCLAIMED: _UNCLAIMED,  # more than the slot may be held
         HoldState.CLAIMED: _CLAIMED,
         HoldState.SETTLING: _UNCLAIMED,
     },
@@ -144,15 +145,15 @@
     ),
     HoldEvent.ABANDONED: _all_to(_NOTHING_HELD),
 }
-"""By event and the state before it."""
+"""Transitions by event and by the state before the event."""
 
 
 class RemoteHold(msgspec.Struct):
-    """What hosts may hold for one request, and for how long nobody is known to have taken it over.
+    """What hosts may hold for one request, and since when no attempt is known to have claimed it.
 
     Attributes:
         state: What hosts may hold.
-        since: When the clock was started; None while it stands still.
+        unclaimed_since: When the clock was started; None while it is stopped.
         cause: The event that started the clock.
     """
 
@@ -161,7 +162,7 @@
     cause: HoldEvent | None = None
 
     def apply(self, now: float, event: HoldEvent) -> None:
-        """Takes the event into account."""
+        """Changes the state and the clock according to the event."""
         transition = TRANSITIONS[event][self.state]
         self.state = transition.state
         match transition.clock:
@@ -184,11 +185,11 @@
 
     @property
     def needs_release(self) -> bool:
-        """Whether a release is owed before the request's record may be closed."""
+        """Whether a release is required before the request's record may be closed."""
         return self.state in (HoldState.UNCLAIMED, HoldState.CLAIMED)
 
     def unclaimed_ms(self, now: float) -> float:
-        """Returns for how long the clock has run; 0 while it stands still."""
+        """Returns how long the clock has run; 0 while it is stopped."""
         return 0.0 if self.unclaimed_since is None else now - self.unclaimed_since
 
 
@@ -197,8 +198,8 @@
 
     Attributes:
         requests: Number of requests for which something may be held.
-        unclaimed: Number of those whose clock runs.
-        oldest_unclaimed_ms: For how long the clock has run that was started first; 0 if none runs.
+        unclaimed: Number of these requests whose clock runs.
+        oldest_unclaimed_ms: How long the oldest running clock has run; 0 if no clock runs.
     """
 
     requests: int
@@ -207,7 +208,7 @@
 
 
 def summarize(holds: Iterable[RemoteHold], now: float) -> HoldSummary:
-    """Counts holds."""
+    """Counts the holds that may hold something."""
     some = [hold for hold in holds if hold.may_be_held]
     ages_ms = [hold.unclaimed_ms(now) for hold in some if hold.unclaimed_since is not None]
     return HoldSummary(len(some), len(ages_ms), round(max(ages_ms, default=0.0)))
--- a/violetstack/core/reservations.py
+++ b/violetstack/core/reservations.py
@@ -1,4 +1,4 @@
-"""Decode slots that are reserved for a request."""
+"""Reservations of decode slots."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 class ReservationManager:
-    """Makes reservations, and records what they may have left at hosts."""
+    """Makes reservations, and records what hosts may hold because of them."""
 
     def __init__(self, state: DispatcherState, hold_manager: HoldManager) -> None:
-        """Creates it for a dispatcher's state; `held` follows what hosts hold."""
+        """Creates a manager without reservations; `hold_manager` tracks what hosts hold for requests."""
         self._state = state
         self._hold_manager = hold_manager
 
     def reserve(self, request: OpenRequest, server: str) -> None:
-        """Reserves a decode slot at the host, beside the prefill that is in flight."""
+        """Reserves a decode slot at the host while the request's prefill is in flight."""
         prefills = [attempt for attempt in request.in_flight.values() if attempt.is_prefill]
         request.reservations_in_flight += 1
         latest_prefill = prefills[-1] if prefills else None
         self._state.driver.reserve_decode_slot(ReservationCall(request, server, latest_prefill))
 
     def written(self, now: float, call: ReservationCall) -> None:
-        """The last byte of a reservation was handed to the kernel: from now on a slot may be reserved."""
+        """Records that the last byte was handed to the kernel: from now on a slot may be reserved."""
         call.written_at = now
         call.request.reservations_unanswered += 1
         self._hold_manager.apply(now, call.request, HoldEvent.RESERVATION_WRITTEN)
@@ -38,13 +38,13 @@
     def finished(
         self, now: float, call: ReservationCall, reserved: bool | None, nothing_reserved: bool
     ) -> None:
-        """A reservation ended.
+        """Records the end of a reservation.
 
         Args:
             now: The time.
             call: The reservation.
-            reserved: What the host answered; None if that is unknown.
-            nothing_reserved: Whether it is certain that the host holds nothing of this call.
+            reserved: Whether the host has reserved a slot; None if its answer is unknown.
+            nothing_reserved: Whether the host certainly holds nothing for this call.
         """
         request = call.request
         request.reservations_in_flight -= 1
@@ -60,7 +60,7 @@
     def _record_slot(
         self, now: float, call: ReservationCall, reserved: bool | None, nothing_reserved: bool
     ) -> None:
-        """Records whether a slot may be reserved, and whether an attempt is known to take it over."""
+        """Records whether a slot may be reserved, and whether an attempt is known to claim it."""
         request = call.request
         attempt = call.attempt
         if nothing_reserved:
--- a/violetstack/core/send_guard.py
+++ b/violetstack/core/send_guard.py
@@ -1,8 +1,8 @@
-"""The one place that decides whether something may be sent to a model host now.
+"""Decides whether attempts and reservations may be sent to a model host.
 
-Attempts and reservations ask here: as they are started, in the step that writes the first byte, and in each
-step that writes more. A host begins a request with its last byte, so everything that forbids an attempt
-withholds the rest of it. Whether an execution may be repeated is in `execution.py`.
+An attempt is checked when it is started, in the step that writes its first byte, and in each step that writes
+more. A host begins a request when it has received its last byte, so an attempt that is no longer allowed is
+cut off before that byte. Whether a request may be executed again is decided in `execution.py`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class WithholdReason(StrEnum):
-    """Why nothing is sent; the values are those of the log."""
+    """Why an attempt or a reservation is not sent; the values are those in the log."""
 
     REQUEST_OVER = "request is over"
     CLIENT_DISCONNECTED = "client has gone"
@@ -32,17 +32,17 @@
 
 
 class SendGuard:
-    """Answers None where something may be sent, else the reason why it may not."""
+    """Checks attempts and reservations; each check returns None, or the reason why they may not be sent."""
 
     def __init__(
         self, state: DispatcherState, client_disconnected: Callable[[float, OpenRequest], None]
     ) -> None:
-        """`client_disconnected` is called when a client turns out to have gone."""
+        """Creates a guard; it calls `client_disconnected` when it finds that a client has disconnected."""
         self._state = state
         self._client_disconnected = client_disconnected
 
     def check_start(self, now: float, attempt: Attempt) -> WithholdReason | None:
-        """May the attempt be started?"""
+        """Checks whether the attempt may be started."""
         request = attempt.request
         settings = self._state.settings
         if not request.accepts_attempts:
@@ -58,17 +58,17 @@
         return None if may_execute(now, attempt, self._class_settings(request)) else WithholdReason.REPETITION
 
     def check_first_byte(self, now: float, attempt: Attempt) -> WithholdReason | None:
-        """May its first byte be written? Not to a host that drains."""
+        """Checks whether the attempt's first byte may be written, which a draining host does not accept."""
         withheld = self.check_next_bytes(now, attempt)
         if withheld is not None:
             return withheld
         return self.check_host(attempt.server)
 
     def check_next_bytes(self, now: float, attempt: Attempt) -> WithholdReason | None:
-        """May the rest, or a part of it, be written? A host that drains finishes what it has the begin of."""
+        """Checks whether more of the attempt may be written; a draining host still accepts the rest."""
         request = attempt.request
         if not attempt.finished and request.accepts_attempts and request.sink.is_client_disconnected():
-            # The end of the connection may not have been read from the socket yet.
+            # The end of the client's connection may not have been read from its socket yet.
             self._client_disconnected(now, request)
         if request.client_disconnected:
             return WithholdReason.CLIENT_DISCONNECTED
@@ -81,17 +81,17 @@
         return None if may_execute(now, attempt, self._class_settings(request)) else WithholdReason.REPETITION
 
     def check_host(self, server: str) -> WithholdReason | None:
-        """May anything be written to the host?"""
+        """Checks whether new calls may be sent to the host."""
         endpoints = self._state.endpoints
         if endpoints.accepts_requests(server):
             return None
         return WithholdReason.HOST_DRAINING if server in endpoints.draining else WithholdReason.HOST_UNLISTED
 
     def check_reservation(self, call: ReservationCall) -> WithholdReason | None:
-        """May a slot be asked for? Only while the prefill attempt is out.
+        """Checks whether the reservation may be sent; its prefill attempt must be in flight.
 
-        Else the decode host knows of no state to wait for: it would answer 204 after 0.3 s, and a slot could
-        be reserved that nobody counts on.
+        Otherwise the decode host would find no prefill to wait for: it would answer 204 after 0.3 s, and
+        might reserve a slot that the dispatcher does not expect.
         """
         attempt = call.attempt
         if attempt is None or not attempt.request_written or attempt.finished:
--- a/violetstack/core/state.py
+++ b/violetstack/core/state.py
@@ -1,4 +1,4 @@
-"""What the parts of the dispatcher share."""
+"""The state that the components of the dispatcher share."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from violetstack.core.timers import Timers
 from violetstack.policy_api import EndpointUpdate, Event, ProcessPaused, Request, Settings
 
-MIN_LATENCY_OBJECTIVE_MS = 1.0  # it is divided by
+MIN_LATENCY_OBJECTIVE_MS = 1.0  # avoids a division by zero
 
 
 class DispatcherState:
-    """The open requests, the events for the policy, and the ports.
+    """The open requests, the queued events for the policy, and the interfaces to other parts.
 
     Attributes:
         settings: The operators' settings.
-        driver: Carries out calls against hosts.
+        driver: Performs calls to hosts.
         endpoints: The endpoint list.
         timers: Deadlines and the policy's timers.
-        metrics: Counters of requests.
+        metrics: Counters of requests by class.
         invariants: Checks the operators' rules.
         open_requests: Requests by id, until no host holds anything for them.
-        pending_events: Events that the policy has not seen yet, in the order of their arrival.
-        changed_requests: Requests that may be ready to be released or closed, by id.
-        router: Assigns routes, if there are any.
-        load_shedder: Limits what is accepted, if it is configured.
-        outlier_observer: Observes the health of hosts, if it is configured.
-        wake: Makes the event loop run the dispatcher soon.
+        pending_events: Events that have not been passed to the policy yet, in the order of their arrival.
+        changed_requests: Requests by id that have changed and may be ready for clean-up.
+        router: Assigns routes; None if no routes are configured.
+        load_shedder: Limits which requests are accepted; None if it is not configured.
+        outlier_observer: Observes the health of hosts; None if it is not configured.
+        wake: Makes the event loop call `Dispatcher.run` soon.
     """
 
     def __init__(self, settings: Settings, driver: Driver, wake: Wake) -> None:
@@ -56,10 +56,10 @@
         self.wake()
 
     def post_pause(self, pause_ms: float) -> None:
-        """Queues a pause of the process ahead of the events that arrived in it.
+        """Queues a pause of the process before the events that arrived during the pause.
 
-        The policy has to see the pause first and then the endpoint list, whichever socket was read first;
-        otherwise it would decide on what it knew before the pause.
+        The policy has to see the pause first and the endpoint list second, whichever socket was read first;
+        otherwise its decisions would rely on the endpoints from before the pause.
         """
         updates = [event for event in self.pending_events if isinstance(event, EndpointUpdate)]
         others = [event for event in self.pending_events if not isinstance(event, EndpointUpdate)]
@@ -73,29 +73,29 @@
         return events
 
     def mark_changed(self, request: OpenRequest) -> None:
-        """Has the request looked at by the next `RequestLifecycle.clean_up`."""
+        """Marks the request for `RequestLifecycle.clean_up` in the next iteration."""
         self.changed_requests[request.id] = request
 
     def take_changed(self) -> list[OpenRequest]:
-        """Returns the changed requests and forgets that they changed."""
+        """Returns the changed requests and empties their list."""
         changed = list(self.changed_requests.values())
         self.changed_requests = {}
         return changed
 
     def notify(self, call: Callable[..., None], *arguments: object) -> None:
-        """Calls a method of a front's sink. If it raises, only this one response is lost, and logged."""
+        """Calls a method of a front's sink; an exception is logged, and only this response is lost."""
         try:
             call(*arguments)
         except Exception as error:
             self.driver.log("response_dropped", error=repr(error))
 
     def observe_attempt(self, server: str, now: float, *, succeeded: bool) -> None:
-        """Tells the outlier observer how an attempt went at a host."""
+        """Tells the outlier observer whether an attempt succeeded at a host."""
         if self.outlier_observer is not None:
             self.outlier_observer.attempt_observed(now, server, succeeded)
 
     def latency_objective_ms(self, request: Request) -> float:
-        """Returns the time within which the request's first token is wanted."""
+        """Returns the objective for the time until the request's first token."""
         spec = self.settings.classes[request.class_index]
         for_prompt = spec.objective_ms_per_1000_tokens * request.prompt_tokens / 1000.0
         for_answer = spec.objective_stretch * (request.expected_answer_ms or 0.0)
--- a/violetstack/core/timers.py
+++ b/violetstack/core/timers.py
@@ -1,4 +1,4 @@
-"""Callbacks that are due at a later time."""
+"""Timers that call functions at a given time."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Timer(msgspec.Struct, order=True):
-    """A scheduled callback; None once it ran or was cancelled.
+    """A scheduled callback; `callback` is None once it has run or was cancelled.
 
-    `order` makes timers of equal time run in the order in which they were scheduled, and keeps the callbacks
-    out of comparisons.
+    `order` makes timers that are due at the same time run in the order in which they were scheduled, and
+    avoids comparisons of callbacks.
     """
 
     due_at: float
@@ -24,7 +24,7 @@
 
 
 class Timers:
-    """A heap of timers, ordered by time and then by the order of scheduling.
+    """A heap of timers, ordered by due time and then by the order in which they were scheduled.
 
     Most requests end long before their deadline, so cancelled timers outnumber the others. A cancelled timer
     drops its callback at once, and the heap is rebuilt when more than half of it is cancelled.
@@ -37,18 +37,18 @@
         self._cancelled = 0
 
     def __len__(self) -> int:
-        """Returns the size of the heap, with the cancelled timers that are still in it."""
+        """Returns the size of the heap, including cancelled timers that were not removed yet."""
         return len(self._heap)
 
     def schedule(self, due_at: float, callback: Callable[[float], None]) -> Timer:
-        """Schedules `callback`, which is called with the time at which it runs; times in milliseconds."""
+        """Schedules `callback`, which is called with the current time; times are in milliseconds."""
         timer = Timer(due_at, self._scheduled, callback)
         self._scheduled += 1
         heapq.heappush(self._heap, timer)
         return timer
 
     def cancel(self, timer: Timer | None) -> None:
-        """Cancels a timer; one that ran or was cancelled before is left alone."""
+        """Cancels a timer; has no effect on a timer that has run or was cancelled before."""
         if timer is None or timer.callback is None:
             return
         timer.callback = None
@@ -59,14 +59,14 @@
             self._cancelled = 0
 
     def next_due(self) -> float:
-        """Returns the time of the next timer, or `NEVER`."""
+        """Returns when the next timer is due; `NEVER` if there is none."""
         while self._heap and self._heap[0].callback is None:
             heapq.heappop(self._heap)
             self._cancelled -= 1
         return self._heap[0].due_at if self._heap else NEVER
 
     def run(self, now: float) -> None:
-        """Calls every timer that is due, with those that these calls schedule for `now` or before."""
+        """Runs all due timers, including those that their callbacks schedule for `now` or earlier."""
         while self.next_due() <= now:
             timer = heapq.heappop(self._heap)
             callback = timer.callback
--- a/violetstack/idempotency/__init__.py
+++ b/violetstack/idempotency/__init__.py
@@ -1,5 +1,5 @@
-"""Idempotency keys: records of the requests that must not run twice, and the service that keeps them.
+"""Idempotency keys: durable records of requests that must not be executed twice.
 
-`store` is the SQLite file, `service` runs its blocking calls on a thread. See the IETF draft "The
-Idempotency-Key HTTP Header Field" (draft-ietf-httpapi-idempotency-key-header).
+`store` keeps the records in an SQLite file, and `service` runs the blocking calls of the store on a thread.
+See the IETF draft "The Idempotency-Key HTTP Header Field" (draft-ietf-httpapi-idempotency-key-header).
 """
--- a/violetstack/idempotency/service.py
+++ b/violetstack/idempotency/service.py
@@ -1,4 +1,4 @@
-"""Runs the blocking calls of the idempotency store on a thread, one after the other."""
+"""Runs the blocking calls of the idempotency store on a thread, one at a time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def _ignore_late_result(_: object) -> None:
-    """For a result that nobody has to undo."""
+    """Does nothing: for a call whose result needs no clean-up after a cancellation."""
 
 
 MAX_QUEUED_CALLS = 512
@@ -31,18 +31,18 @@
 
 
 class IdempotencyService:
-    """Claims requests, records their outcomes and renews the lease.
+    """Claims requests, records their outcomes, and renews the lease on claimed requests.
 
     Attributes:
-        pending_calls: Number of calls that are queued or run; shutdown waits until there are none.
+        pending_calls: Number of calls that are queued or running; the shutdown waits until there are none.
     """
 
     def __init__(self, store: IdempotencyStore, lease_s: float) -> None:
-        """Create the service of a store.
+        """Creates the service of a store.
 
         Args:
-            store: The store; from now on only the service uses it.
-            lease_s: Length of the store's lease.
+            store: The store; nothing but the service may use it from now on.
+            lease_s: Duration of the store's lease in seconds.
         """
         self.pending_calls = 0
         self._store = store
@@ -51,11 +51,11 @@
         self._send_call, self._receive_call = trio.open_memory_channel[Callable[[], bool]](math.inf)
 
     async def run(self) -> None:
-        """Serves until cancelled.
+        """Runs queued calls until cancelled.
 
-        Calls run in the order in which they came, so the outcome of a request is recorded before its retry is
-        looked up. One that has to be repeated goes to the end of the queue: meanwhile its request counts as
-        running, and no other waits for it.
+        Calls run in the order in which they were queued, so the outcome of a request is recorded before a
+        retry of the request looks it up. A call that has to be repeated goes to the end of the queue: until
+        then its request counts as running, and other calls do not wait for it.
         """
         try:
             await trio.to_thread.run_sync(self._renew_lease)
@@ -70,10 +70,10 @@
                     nursery.start_soon(self._requeue_after_delay, call)
 
     async def _run_call(self, call: Callable[[], bool]) -> bool:
-        """Runs a call on the thread; returns False if it has to be repeated."""
+        """Runs a call on a thread; returns False if it has to be repeated."""
         try:
             return await trio.to_thread.run_sync(call)
-        except Exception as error:  # no call's failure may end the service
+        except Exception as error:  # an exception of one call must not end the service
             log_rate_limited("idempotency_store_failed", error=repr(error))
             return True
 
@@ -82,20 +82,22 @@
         self._send_call.send_nowait(call)
 
     def holds_lease(self) -> bool:
-        """Whether a request that was claimed here may still be sent."""
+        """Returns whether a request that this process claimed may still be sent."""
         return self._store.holds_lease()
 
     async def claim(self, request: KeyedRequest, timeout_s: float = math.inf) -> ClaimResult:
-        """Records a request as running, or returns what is recorded of it.
+        """Records a request as running, or returns the existing record.
 
-        A claim that is committed after `timeout_s` is released again.
+        A claim that is committed only after `timeout_s` is released again.
 
         Raises:
-            IdempotencyStoreError: More than MAX_QUEUED_CALLS calls are queued, the file cannot be written, or
+            IdempotencyStoreError: MAX_QUEUED_CALLS calls are queued already, the file cannot be written, or
                 the claim took longer than `timeout_s`.
         """
         if self.pending_calls >= MAX_QUEUED_CALLS:
-            raise IdempotencyStoreError(f"{self.pending_calls} calls are queued, at most {MAX_QUEUED_CALLS}")
+            raise IdempotencyStoreError(
+                f"{self.pending_calls} calls are queued, the limit is {MAX_QUEUED_CALLS}"
+            )
 
         def release(late: ClaimResult) -> None:
             if late.status is ClaimStatus.ACQUIRED:
@@ -103,17 +105,17 @@
 
         with trio.move_on_after(timeout_s):
             return await self._call(lambda: self._store.claim(request), release)
-        raise IdempotencyStoreError(f"no answer within {timeout_s:.1f} s")
+        raise IdempotencyStoreError(f"the claim took longer than {timeout_s:.1f} s")
 
     def record_outcome(self, request: KeyedRequest, outcome: Outcome, response: bytes) -> None:
         """Records how a claimed request ended.
 
         Returns at once. The write is retried until it succeeds or `stop_retrying` is called, since a request
-        without an outcome would be running until its owner's lease ends.
+        without a recorded outcome would count as running until its owner's lease expires.
         """
 
         def record() -> bool:
-            """Runs on the thread."""
+            """Runs on a thread."""
             if self._retries_stopped:
                 return True
             try:
@@ -126,7 +128,7 @@
         self._enqueue(record)
 
     def stop_retrying(self) -> None:
-        """Ends the retries of `record_outcome`, so that the process can exit."""
+        """Stops the retries of `record_outcome`, so that the process can exit."""
         self._retries_stopped = True
 
     def _renew_lease(self) -> None:
@@ -141,9 +143,12 @@
                 log("idempotency_store_failed", error=error.reason)
 
     async def _call(self, operation: Callable[[], T], on_late_result: Callable[[T], None]) -> T:
-        """Runs `act` on the thread and returns its result; raises IdempotencyStoreError.
+        """Runs `operation` on a thread and returns its result.
 
-        If this is cancelled meanwhile, `result_is_late` gets the result.
+        If the caller is cancelled before that, `on_late_result` is called with the result.
+
+        Raises:
+            IdempotencyStoreError: Raised by `operation`, or it ended by an unexpected exception.
         """
         done = trio.Event()
         token = trio.lowlevel.current_trio_token()
@@ -152,13 +157,13 @@
         waiting = True
 
         def finish() -> None:
-            """Runs in the event loop, so that a result is either taken or late."""
+            """Runs in the event loop, so that a result is either returned or passed to `on_late_result`."""
             if not waiting and results:
                 on_late_result(results[0])
             done.set()
 
         def call() -> bool:
-            """Runs on the thread."""
+            """Runs on a thread."""
             try:
                 results.append(operation())
             except IdempotencyStoreError as error:
--- a/violetstack/idempotency/store.py
+++ b/violetstack/idempotency/store.py
@@ -1,17 +1,18 @@
-"""The durable records of non-idempotent requests.
+"""Durable records of non-idempotent requests.
 
-One SQLite file is shared by the dispatchers that serve the same clients. A request is identified by its
-tenant, conversation and messages; values of the ``Idempotency-Key`` header refer to requests. A record is
-committed before its request may be sent to a host, and outlives the process: a running record whose owner has
-failed is a request that may have run.
+Dispatchers that serve the same clients share one SQLite file. A request is identified by its tenant,
+conversation and messages; values of the ``Idempotency-Key`` header refer to such requests. A record is
+committed before its request may be sent to a host, and it outlives the process: if the owner of a record in
+state running has failed, the request may have been executed.
 
-Each dispatcher holds a lease on the requests it has claimed, and renews it by changing its heartbeat in the
-file. An observer measures the time since the last change on its own monotonic clock; clocks of two machines
-are never compared, and the wall clock counts for nothing: ages are measured by the file's own clock
-(`RetentionClock`). The holder counts its lease from before it wrote the heartbeat, and checks it right before
-it sends. So a request that another dispatcher has declared failed is not sent any more.
+Each dispatcher holds a lease on the requests that it has claimed, and renews it by changing its heartbeat in
+the file. The other dispatchers measure the time since the last change with their own monotonic clocks; clocks
+of two machines are never compared. Wall clocks are not used either: the age of records is measured by the
+clock of the file (`RetentionClock`). The owner counts its lease from before it wrote the heartbeat, and
+checks it right before it sends a request. So it no longer sends a request that another dispatcher has
+declared failed.
 
-The names of the tables, columns and states are those of the first release, which may share the file.
+The names of the tables, columns and states are those of the first release, which may use the same file.
 """
 
 from __future__ import annotations
@@ -38,34 +39,38 @@
 CREATE INDEX IF NOT EXISTS keys_of_order ON keys (tenant, digest);
 CREATE TABLE IF NOT EXISTS owners (owner TEXT PRIMARY KEY, beat REAL NOT NULL) WITHOUT ROWID;
 """
-RUNNING_STATE = "running"  # the stored state between a claim and its outcome
+RUNNING_STATE = "running"  # the stored state of a request between its claim and its outcome
 LOCK_TIMEOUT_S = 2.0
-HEARTBEAT_STEP_S = 0.001  # added where the clock shows the same time as at the last heartbeat
+HEARTBEAT_STEP_S = 0.001  # increment if the clock has not advanced since the last heartbeat
 
 
 class ClaimStatus(Enum):
-    """What the claim of a request found."""
+    """The result of claiming a request."""
 
-    ACQUIRED = "acquired"  # recorded as running: the caller may send it
-    RUNNING = "running"  # another attempt holds it
-    COMPLETED = "finished"  # it has a response
-    FAILED = "failed"  # it may have run
-    KEY_REUSED = "other_body"  # the key belongs to a request with another body
+    ACQUIRED = "acquired"  # the request is recorded as running, and the caller may send it
+    RUNNING = "running"  # the request was claimed before and is still running
+    COMPLETED = "finished"  # a response is recorded
+    FAILED = "failed"  # the request may have been executed
+    KEY_REUSED = "other_body"  # the key was used for a request with another body
 
 
 class Outcome(Enum):
     """How a running request ended; the values are the stored states."""
 
     COMPLETED = "finished"
-    FAILED = "failed"  # it may have run
-    RELEASED = "free"  # it certainly did not run, and may be claimed again
+    FAILED = "failed"  # the request may have been executed
+    RELEASED = "free"  # the request was certainly not executed, and may be claimed again
 
 
 class IdempotencyStoreError(Exception):
-    """The file cannot be read or written now, and nothing was committed; `reason` says why."""
+    """The file cannot be read or written, and nothing was committed.
+
+    Attributes:
+        reason: The cause, for the log.
+    """
 
     def __init__(self, reason: str) -> None:
-        """Sets the reason, which is for the log."""
+        """Creates the error with the reason for the log."""
         super().__init__(reason)
         self.reason = reason
 
@@ -74,10 +79,10 @@
     """A request with an idempotency key.
 
     Attributes:
-        tenant: Name of the tenant; keys of two tenants are independent.
+        tenant: Name of the tenant; keys of different tenants are independent.
         key: Value of the ``Idempotency-Key`` header.
-        fingerprint: Hash of the body, to detect a key that is used with another body.
-        digest: Hash of tenant, conversation and messages, which identifies the request under all its keys.
+        fingerprint: Hash of the body, to detect that a key is reused with another body.
+        digest: Hash of tenant, conversation and messages, which identifies the request whatever its key.
     """
 
     tenant: str
@@ -87,14 +92,14 @@
 
 
 class ClaimResult(NamedTuple):
-    """The status of a claimed request, and the recorded response if it is COMPLETED."""
+    """The status of a claim, and the recorded response if the status is COMPLETED."""
 
     status: ClaimStatus
     response: bytes
 
 
 class _StoredRequest(NamedTuple):
-    """A row of the table `orders`, without its key."""
+    """A row of the table `orders` without its primary key."""
 
     state: str
     owner: str
@@ -102,25 +107,25 @@
 
 
 class RetentionClock:
-    """Real time as the processes that use the file have measured it together, in seconds.
+    """The clock of the file: the time in seconds that the processes using the file have measured together.
 
-    Heartbeats carry it from one process to the next: the latest one is what the file's clock showed then, and
-    each process adds what its own monotonic clock has measured since it last read the file. So the clock
-    never runs faster than real time, whatever the wall clocks do, and stands still while no process runs: a
-    record may be kept for longer than the retention, never shorter.
+    The latest heartbeat in the file is the clock's time when it was written. Each process adds the time that
+    its own monotonic clock has measured since it last read the file. So the clock never runs faster than real
+    time, whatever the wall clocks do, and it stops while no process runs: a record may be kept for longer
+    than the retention time, but never for less.
 
-    Only the first process of a file takes the Unix time, since an earlier release that shares the file
-    compares with it. Such a release still measures by its wall clock.
+    Only the first process that uses a file starts the clock with the Unix time, since an earlier release that
+    shares the file compares its own time with it. Such a release still uses its wall clock.
     """
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
-        """Creates a clock that has not been read; `monotonic` returns seconds."""
+        """Creates a clock that was not read yet; `monotonic` returns seconds."""
         self._monotonic = monotonic
         self._last_read_at = 0.0
         self._last_reading_s = float("-inf")
 
     def read(self, database: sqlite3.Connection) -> float:
-        """Returns the file's time; the caller's transaction holds the file."""
+        """Returns the time of the file; must be called within a write transaction."""
         now = self._monotonic()
         self._last_reading_s = max(
             _latest_heartbeat(database), self._last_reading_s + (now - self._last_read_at)
@@ -135,9 +140,10 @@
 
 
 class IdempotencyStore:
-    """The SQLite file.
+    """Keeps the records in an SQLite file.
 
-    All methods block. `holds_lease` may be called from any thread, the others from one at a time.
+    All methods block. `holds_lease` may be called from any thread, the other methods from one thread at a
+    time.
     """
 
     def __init__(
@@ -151,10 +157,10 @@
         """Creates a store; the file is opened by the first call.
 
         Args:
-            path: The SQLite file; it is created if it is missing.
+            path: Path of the SQLite file, which is created if it does not exist.
             owner: Unique name of this process.
             retention_s: How long records of ended requests are kept.
-            lease_s: How long after its last heartbeat an owner keeps the requests it claimed.
+            lease_s: Lease duration: how long after its last heartbeat an owner keeps the requests it claimed.
             monotonic: The clock for leases and for the retention, in seconds.
         """
         self._path = str(path)
@@ -179,16 +185,16 @@
         return self._monotonic() < self._lease_end
 
     def renew_lease(self) -> None:
-        """Writes a heartbeat, observes those of the other owners, and deletes expired records.
+        """Writes a heartbeat, observes the heartbeats of other owners, and deletes expired records.
 
         Raises:
-            IdempotencyStoreError: The lease is not renewed.
+            IdempotencyStoreError: The lease was not renewed.
         """
         started_at = self._monotonic()
         with self._transaction() as database:
             now_s = self._clock.read(database)
             expire_before = now_s - self._retention_s
-            # An owner is alive while its heartbeat changes.
+            # An owner counts as alive while its heartbeat changes, so it must never stay the same.
             heartbeat = max(now_s, self._heartbeat + HEARTBEAT_STEP_S)
             database.execute("INSERT OR REPLACE INTO owners VALUES (?, ?)", (self._owner, heartbeat))
             database.execute("DELETE FROM orders WHERE at < ? AND state != ?", (expire_before, RUNNING_STATE))
@@ -202,10 +208,10 @@
         self._lease_end = started_at + self._lease_s
 
     def claim(self, request: KeyedRequest) -> ClaimResult:
-        """Records a request as running, or returns what is recorded of it.
+        """Records a request as running, or returns the existing record.
 
         Args:
-            request: The request; its key is recorded as well.
+            request: The request; its key is recorded too.
 
         Raises:
             IdempotencyStoreError: Nothing was recorded, so the request must not be sent.
@@ -215,15 +221,16 @@
             return self._claim(database, request, self._clock.read(database), started_at)
 
     def record_outcome(self, request: KeyedRequest, outcome: Outcome, response: bytes) -> bool:
-        """Records how a request ended that this process claimed.
+        """Records how a request that this process claimed has ended.
 
         Args:
             request: The claimed request.
             outcome: How it ended.
-            response: What a retry is answered, if it is COMPLETED.
+            response: The response for retries if the outcome is COMPLETED.
 
         Returns:
-            False if the lease was lost and another owner has declared the request failed, which stands.
+            False if the lease was lost and another owner has recorded the request as failed; that is not
+            changed.
 
         Raises:
             IdempotencyStoreError: Nothing was recorded.
@@ -250,7 +257,7 @@
             and state == RUNNING_STATE
             and not self._is_owner_alive(database, stored.owner, started_at)
         ):
-            # How far its owner came is unknown, so it must not run again.
+            # Its owner may have sent it before it failed, so the request must not be executed again.
             state = Outcome.FAILED.value
             self._update(database, request, Outcome.FAILED, b"", now_s)
         if key_row is None:
@@ -295,13 +302,13 @@
         return not self._liveness.is_expired(started_at, self._monotonic(), owner, heartbeat)
 
     def _failed_owners(self, database: sqlite3.Connection, started_at: float) -> list[str]:
-        """Owners whose heartbeat has not changed for a lease."""
+        """Returns the owners whose heartbeat has not changed for a whole lease."""
         rows = database.execute("SELECT owner, beat FROM owners WHERE owner != ?", (self._owner,)).fetchall()
         read_at = self._monotonic()
         return [owner for owner, beat in rows if self._liveness.is_expired(started_at, read_at, owner, beat)]
 
     def _delete_owner_records(self, database: sqlite3.Connection, owner: str, expire_before: float) -> None:
-        """Deletes the expired records of a failed owner, and the owner once it has no running request."""
+        """Deletes expired records of a failed owner, and the owner itself once it has no running request."""
         database.execute("DELETE FROM orders WHERE at < ? AND owner = ?", (expire_before, owner))
         database.execute(
             "DELETE FROM owners WHERE owner = ? AND beat < ? AND NOT EXISTS "
@@ -311,7 +318,7 @@
 
     @contextlib.contextmanager
     def _transaction(self) -> Iterator[sqlite3.Connection]:
-        """A write transaction, committed at the end and rolled back by an exception."""
+        """Opens a write transaction that is committed at the end and rolled back by an exception."""
         try:
             database = self._connect()
             database.execute("BEGIN IMMEDIATE")
@@ -326,7 +333,7 @@
                 self._path, timeout=LOCK_TIMEOUT_S, isolation_level=None, check_same_thread=False
             )
             database.execute("PRAGMA journal_mode=WAL")
-            database.execute("PRAGMA synchronous=FULL")  # a commit must survive a crash of the machine
+            database.execute("PRAGMA synchronous=FULL")  # commits must survive a crash of the machine
             database.executescript(SCHEMA)
             self._database = database
         return self._database
