--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -19,7 +19,7 @@
     encode_load,
     endpoint_tag,
 )
-from violetstack.gossip.failure_reports import MAX_REPORTS_PER_PEER, SUSPECT_WINDOW_MS
+from violetstack.gossip.failure_reports import MAX_REPORTS_PER_PEER, REPORT_WINDOW_MS
 from violetstack.gossip.state import GossipState
 from violetstack.policy_api import (
     AttemptStatus,
@@ -267,7 +267,7 @@
     assert harness.state.remote_load.active_peers == 199
     harness.handle(after=SETTINGS.classes[0].client_timeout_ms + 1.0)
     assert (load.prefill_cost_in_flight(r1), harness.state.remote_load.active_peers) == (0.0, 0)
-    assert harness.state.remote_load.record_count == 0
+    assert harness.state.remote_load.announcement_count == 0
 
 
 def test_a_faulty_peer_has_a_bounded_effect_and_cannot_undo_a_drain() -> None:
@@ -352,10 +352,10 @@
     assert report(3, 100.0, 3, 4) == []  # five of eight: its own link is what fails
     assert report(3, 200.0, 0) == []
     assert report(2, 300.0, 0, 1) == tags[:2]  # other peers are still believed
-    assert report(3, SUSPECT_WINDOW_MS + 300.0, 5) == [tags[5]]
+    assert report(3, REPORT_WINDOW_MS + 300.0, 5) == [tags[5]]
     for n in range(3 * MAX_REPORTS_PER_PEER):
         state.receive(0.0, 4, encode_datagram([(n.to_bytes(2, "big"), FAILURE_CODE)]), len(tags))
-    assert state.failure_reports.count(4) <= MAX_REPORTS_PER_PEER
+    assert state.failure_reports.reported_count(4) <= MAX_REPORTS_PER_PEER
     harness = RouterHarness(*(make_endpoint(f"r{n}", 0) for n in range(4)), make_endpoint("w0", 1))
     for _ in range(50):
         for n in range(4):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -144,7 +144,7 @@
     old = SiblingProcesses("b", NOW)
     new = SiblingProcesses("c", NOW - 3_600_000.0)
     new.update([record("b", NOW)], {"b": NOW})
-    new.start_after_known()
+    new.order_after_known()
     assert new.successor(NOW) is None
     later = record("c", new.started_at_ms, NOW - 3_600_000.0)
     old.update([later], {"c": NOW})
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -5,7 +5,7 @@
 from tests.router_harness import SETTINGS, make_endpoint
 from violetstack.estimation.slow_start import capacity_fraction
 from violetstack.policy_api import Endpoint, EndpointState, EndpointUpdate, UpdateScope
-from violetstack.recovery.start_times import MAX_NOTICE_MS, StartTimes
+from violetstack.recovery.start_times import MAX_RESTART_NOTICE_MS, StartTimes
 
 NOW = 1_700_000_000_000.0
 HOUR_MS = 3_600_000.0
@@ -38,8 +38,8 @@
     starts = StartTimes()
     told(starts, NOW, make_endpoint("a", 0, started_ms=NOW - 2.0 * HOUR_MS), complete=True)
     restarted = make_endpoint("a", 0, started_ms=NOW - HOUR_MS)
-    assert told(starts, NOW + 500.0, restarted) == [NOW + 500.0 - MAX_NOTICE_MS]
-    assert told(starts, NOW + 5_000.0, restarted, complete=True) == [NOW + 500.0 - MAX_NOTICE_MS]
+    assert told(starts, NOW + 500.0, restarted) == [NOW + 500.0 - MAX_RESTART_NOTICE_MS]
+    assert told(starts, NOW + 5_000.0, restarted, complete=True) == [NOW + 500.0 - MAX_RESTART_NOTICE_MS]
 
 
 def test_a_removed_host_is_forgotten() -> None:
--- a/violetstack/gossip/failure_reports.py
+++ b/violetstack/gossip/failure_reports.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Sequence
 
-SUSPECT_WINDOW_MS = 12_000.0
-MIN_SUSPECT_REPORTS = 3  # in small sets one or two failed endpoints are already half of them
+REPORT_WINDOW_MS = 12_000.0
+MIN_UNTRUSTED_REPORTS = 3  # in small sets one or two failed endpoints are already half of them
 MAX_REPORTS_PER_PEER = 256  # bounds the memory that one peer can fill
 
 
@@ -30,13 +30,13 @@
             endpoint_count: Endpoints in the endpoint list.
         """
         reported = {
-            tag: at for tag, at in self._reported_at.get(peer, {}).items() if at > now - SUSPECT_WINDOW_MS
+            tag: at for tag, at in self._reported_at.get(peer, {}).items() if at > now - REPORT_WINDOW_MS
         }
         reported.update(dict.fromkeys(tags, now))
         self._reported_at[peer] = dict(list(reported.items())[-MAX_REPORTS_PER_PEER:])
-        return len(reported) < max(MIN_SUSPECT_REPORTS, endpoint_count / 2.0)
+        return len(reported) < max(MIN_UNTRUSTED_REPORTS, endpoint_count / 2.0)
 
-    def count(self, peer: int) -> int:
+    def reported_count(self, peer: int) -> int:
         """Returns how many endpoints are on record as reported by a peer."""
         return len(self._reported_at.get(peer, {}))
 
--- a/violetstack/gossip/state.py
+++ b/violetstack/gossip/state.py
@@ -15,7 +15,7 @@
 )
 from violetstack.gossip.failure_reports import FailureReports
 
-LOADS = tuple(decode_load(code) for code in range(FAILURE_CODE))
+LOAD_BY_CODE = tuple(decode_load(code) for code in range(FAILURE_CODE))
 
 
 class _Announcement(msgspec.Struct, frozen=True, gc=False):
@@ -68,7 +68,7 @@
             if code == FAILURE_CODE:
                 failed.append(tag)
             else:
-                self._set_load(now, tag, peer, LOADS[code])
+                self._set_load(now, tag, peer, LOAD_BY_CODE[code])
         if failed and self.failure_reports.accept(now, peer, failed, endpoint_count):
             return failed
         return []
@@ -99,7 +99,7 @@
                 self._set_load(now, expired.tag, expired.peer, 0.0)
 
     @property
-    def record_count(self) -> int:
+    def announcement_count(self) -> int:
         """How many announcements are in memory, superseded ones included."""
         return len(self._arrivals)
 
--- a/violetstack/handover/successor.py
+++ b/violetstack/handover/successor.py
@@ -41,7 +41,7 @@
         self._records = {name: record for name, record in self._records.items() if name in last_seen_ms}
         self._last_seen_ms = dict(last_seen_ms)
 
-    def start_after_known(self) -> None:
+    def order_after_known(self) -> None:
         """Orders this process behind those that were there before it, whatever the wall clock showed them.
 
         After a step back, the predecessor's start would be the later one: it would count as the successor.
--- a/violetstack/net/handover.py
+++ b/violetstack/net/handover.py
@@ -63,7 +63,7 @@
         """Reads the records of the other processes and applies their cordons; returns the latest record."""
         now = now_ms()
         self._read_records(now)
-        self.siblings.start_after_known()
+        self.siblings.order_after_known()
         self._cordons.merge(self.siblings.latest_cordons())
         record = self.siblings.latest_record()
         log(
--- a/violetstack/recovery/cached_endpoints.py
+++ b/violetstack/recovery/cached_endpoints.py
@@ -68,22 +68,22 @@
     newest_first = sorted(
         sources, key=lambda s: s.received_at if s.received_at is not None else float("-inf"), reverse=True
     )
-    found: dict[str, CachedEndpoint] = {}
-    superseded = False
+    merged: dict[str, CachedEndpoint] = {}
+    newer_list_exists = False
     for source in newest_first:
         for server in source.servers:
-            if server.id in found:
+            if server.id in merged:
                 continue
-            endpoint = _rate(server, source, now, warm_up_ms, max_age_ms)
-            if superseded and endpoint.status is not CacheStatus.REJECTED and server.state == "active":
+            endpoint = _assess(server, source, now, warm_up_ms, max_age_ms)
+            if newer_list_exists and endpoint.status is not CacheStatus.REJECTED and server.state == "active":
                 reason = f"{source.name}: not in a newer list"
                 endpoint = CachedEndpoint(endpoint.server, CacheStatus.REJECTED, reason)
-            found[server.id] = endpoint
-        superseded = superseded or bool(source.servers)
-    return _reject_address_conflicts(list(found.values()), now)
+            merged[server.id] = endpoint
+        newer_list_exists = newer_list_exists or bool(source.servers)
+    return _reject_address_conflicts(list(merged.values()), now)
 
 
-def _rate(
+def _assess(
     server: ListedEndpoint, source: EndpointSource, now: float, warm_up_ms: float, max_age_ms: float
 ) -> CachedEndpoint:
     started_now = msgspec.structs.replace(server, started_ms=now)
@@ -114,16 +114,16 @@
             -min(e.server.started_ms, now),
         ),
     )
-    owners: dict[str, str] = {}
+    id_by_address: dict[str, str] = {}
     checked: list[CachedEndpoint] = []
     for endpoint in best_first:
         address = endpoint.server.addr
         if endpoint.status is CacheStatus.REJECTED or not address:
             checked.append(endpoint)
-        elif address in owners:
-            reason = f"{address} belongs to {owners[address]} now"
+        elif address in id_by_address:
+            reason = f"{address} belongs to {id_by_address[address]} now"
             checked.append(CachedEndpoint(endpoint.server, CacheStatus.REJECTED, reason))
         else:
-            owners[address] = endpoint.server.id
+            id_by_address[address] = endpoint.server.id
             checked.append(endpoint)
     return checked
--- a/violetstack/recovery/panic_threshold.py
+++ b/violetstack/recovery/panic_threshold.py
@@ -32,16 +32,16 @@
 class PanicThreshold:
     """Decides whether a complete list is accepted as it is."""
 
-    def __init__(self, missing_share: float, hold_ms: float) -> None:
+    def __init__(self, missing_share: float, retention_ms: float) -> None:
         """Creates a threshold that has not been reached.
 
         Args:
             missing_share: The share of the active endpoints that has to be missing; infinity turns it off.
-            hold_ms: For how long missing endpoints are retained.
+            retention_ms: For how long missing endpoints are retained.
         """
         self._missing_share = missing_share
-        self._hold_ms = hold_ms
-        self._until: float | None = None
+        self._retention_ms = retention_ms
+        self._retained_until: float | None = None
 
     def check(
         self, now: float, current: Mapping[str, ListedEndpoint], received: Iterable[ListedEndpoint]
@@ -60,12 +60,12 @@
         active = [server for server in current.values() if server.state == "active"]
         missing = [server for server in active if server.id not in listed]
         if not missing or len(missing) < self._missing_share * len(active):
-            self._until = None
+            self._retained_until = None
             return None
-        if self._until is None:
-            self._until = now + self._hold_ms
-        if now >= self._until:
-            self._until = None
+        if self._retained_until is None:
+            self._retained_until = now + self._retention_ms
+        if now >= self._retained_until:
+            self._retained_until = None
             return None
         servers = (msgspec.structs.replace(server, started_ms=now) for server in missing)
-        return RetainedEndpoints(tuple(servers), self._until)
+        return RetainedEndpoints(tuple(servers), self._retained_until)
--- a/violetstack/recovery/start_times.py
+++ b/violetstack/recovery/start_times.py
@@ -14,14 +14,14 @@
 
 from violetstack.policy_api import Endpoint, EndpointState, EndpointUpdate, UpdateScope
 
-MAX_NOTICE_MS = 10_000.0
+MAX_RESTART_NOTICE_MS = 10_000.0
 """A restart of a listed host is told within this time."""
 
 
-class _Start(NamedTuple):
+class _StartTime(NamedTuple):
     """When a host started, as discovery dates it, and on this process's clock."""
 
-    dated_ms: float
+    listed_ms: float
     local_ms: float
 
 
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         """Begins without any host."""
-        self._starts: dict[str, _Start] = {}
+        self._starts: dict[str, _StartTime] = {}
 
     def translate(self, now: float, update: EndpointUpdate) -> EndpointUpdate:
         """Returns the update with starts on this process's clock.
@@ -52,12 +52,12 @@
         if entry.state is EndpointState.REMOVED:
             self._starts.pop(entry.server, None)
             return entry
-        dated_ms = entry.started_ms or 0.0
+        listed_ms = entry.started_ms or 0.0
         known = self._starts.get(entry.server)
-        if known is None or known.dated_ms != dated_ms:
-            local_ms = min(now, dated_ms)
-            if known is not None and dated_ms:
-                local_ms = max(local_ms, now - MAX_NOTICE_MS)
-            known = _Start(dated_ms, local_ms)
+        if known is None or known.listed_ms != listed_ms:
+            local_ms = min(now, listed_ms)
+            if known is not None and listed_ms:
+                local_ms = max(local_ms, now - MAX_RESTART_NOTICE_MS)
+            known = _StartTime(listed_ms, local_ms)
             self._starts[entry.server] = known
-        return entry if known.local_ms == dated_ms else replace(entry, started_ms=known.local_ms)
+        return entry if known.local_ms == listed_ms else replace(entry, started_ms=known.local_ms)
