--- a/violetstack/lease/errors.py
+++ b/violetstack/lease/errors.py
@@ -16,7 +16,7 @@
 
     def __init__(self, size: int) -> None:
         """Creates an error that names the length in bytes."""
-        super().__init__(f"{size} bytes")
+        super().__init__(f"{size} bytes is not the length of a lease datagram")
         self.size = size
 
 
@@ -25,7 +25,7 @@
 
     def __init__(self, version: int) -> None:
         """Creates an error that names the version."""
-        super().__init__(f"version {version}")
+        super().__init__(f"unknown protocol, or unknown version {version}")
         self.version = version
 
 
