--- a/violetstack/gossip/state.py
+++ b/violetstack/gossip/state.py
@@ -1,4 +1,4 @@
-"""The load that the other dispatchers of the tier have announced, per endpoint."""
+"""The loads that the other dispatchers of the tier have announced for each endpoint."""
 
 from __future__ import annotations
 
@@ -26,17 +26,18 @@
 
 
 class GossipState:
-    """The announced loads of all peers, with their sum per endpoint.
+    """The announced loads of all peers, and their sum for each endpoint.
 
-    A load counts until its sender announces another one or a reset, or until `expiry_ms` have passed. The
-    expiry removes the load of a dispatcher that crashed and will never announce its end.
+    A load is valid until its sender announces another one or a reset, or until `expiry_ms` have passed. The
+    expiry removes the loads of a dispatcher that crashed and will announce no reset.
 
     Attributes:
-        active_peers: How many peers were heard within `expiry_ms`, as of the last `expire`.
+        active_peers: How many peers had sent a datagram within `expiry_ms` at the last call of `expire`.
+        failure_reports: The failure reports of the peers.
     """
 
     def __init__(self, expiry_ms: float) -> None:
-        """Takes the time after which an announced load no longer counts, in milliseconds."""
+        """Starts without loads; an announced load expires after `expiry_ms` milliseconds."""
         self.active_peers = 0
         self.failure_reports = FailureReports()
         self._expiry_ms = expiry_ms
@@ -46,16 +47,16 @@
         self._last_heard: dict[int, float] = {}
 
     def receive(self, now: float, peer: int, payload: bytes, endpoint_count: int) -> list[bytes]:
-        """Applies a datagram and returns the tags of the endpoints whose failure report counts.
+        """Applies a datagram and returns the tags of the endpoints that a trusted peer reports as failed.
 
         Args:
-            now: Milliseconds of the caller's clock.
-            peer: Number of the sending dispatcher.
+            now: The current time, in milliseconds of the caller's clock.
+            peer: The number of the sending dispatcher.
             payload: The datagram.
-            endpoint_count: Endpoints in the endpoint list.
+            endpoint_count: The number of endpoints in the endpoint list.
 
         Raises:
-            GossipDecodeError: The datagram is malformed; nothing has changed.
+            GossipDecodeError: The datagram is malformed; the state is unchanged.
         """
         if payload == RESET_DATAGRAM:
             self._last_heard[peer] = now
@@ -74,9 +75,10 @@
         return []
 
     def clear(self) -> None:
-        """Discards everything announced so far.
+        """Discards all announcements.
 
-        Called after a pause of the process: older announcements are stale, and later ones may be lost.
+        Called after a pause of the process: the announcements from before the pause are stale, and those sent
+        during it may be lost.
         """
         self.active_peers = 0
         self.failure_reports.clear()
@@ -90,7 +92,7 @@
         return self._totals.get(tag, 0.0)
 
     def expire(self, now: float) -> None:
-        """Removes loads older than the expiry time; to be called before loads are read."""
+        """Removes loads that have expired; to be called before loads are read."""
         oldest = now - self._expiry_ms
         self.active_peers = sum(1 for at in self._last_heard.values() if at > oldest)
         while self._arrivals and self._arrivals[0].at_ms <= oldest:
@@ -100,7 +102,7 @@
 
     @property
     def announcement_count(self) -> int:
-        """How many announcements are in memory, superseded ones included."""
+        """The number of announcements in memory, including superseded ones."""
         return len(self._arrivals)
 
     def _reset_peer(self, now: float, peer: int) -> None:
@@ -115,7 +117,7 @@
             announcement = _Announcement(now, tag, peer, load)
             self._announced[(tag, peer)] = announcement
             self._arrivals.append(announcement)
-        # Rounding leaves a remainder of less than half a step; without this, idle endpoints would stay here.
+        # Rounding errors leave a remainder of less than half a step, which would keep idle endpoints here.
         if total > SMALLEST_STEP / 2.0:
             self._totals[tag] = total
         else:
--- a/violetstack/recovery/cached_endpoints.py
+++ b/violetstack/recovery/cached_endpoints.py
@@ -1,9 +1,9 @@
-"""Merges endpoint lists that were received earlier, and rates how far each endpoint can be relied on.
+"""Merges endpoint lists that were received earlier, and assesses how reliable each cached endpoint is.
 
-A cached endpoint may have restarted since its list was received, and a restarted endpoint is warming up.
-Once the list is older than the warm-up, the endpoint's start is unknown and taken to be now: all
-dispatchers together then send it no more than an endpoint that is warming up, and its share grows with
-time. The first list from service discovery replaces the guess.
+A cached endpoint may have restarted since its list was received, and a restarted endpoint is warming up. Once
+the list is older than the warm-up time, the start time of the endpoint is unknown and assumed to be now. All
+dispatchers together then send the endpoint no more requests than one that is warming up, and its share grows
+with time. The first list from service discovery replaces this assumption.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 
 from violetstack.protocol.discovery import ListedEndpoint
 
-MAX_CLOCK_SKEW_MS = 2_000.0  # one machine's clock moves back by less than this across a restart
+MAX_CLOCK_SKEW_MS = 2_000.0  # the clock of a machine is set back by less than this during a restart
 
 
 class CacheStatus(Enum):
-    """How far a cached endpoint can be relied on; the values appear in the log."""
+    """The reliability of a cached endpoint; the values appear in the log."""
 
-    FRESH = "fresh"  # received so recently that a restart would still show as warming up
-    STALE = "stale"  # may have restarted since: used as if it had just started
+    FRESH = "fresh"  # listed within the warm-up time, so its listed start time is used
+    STALE = "stale"  # may have restarted since it was listed: used as if it had just started
     REJECTED = "rejected"  # not used
 
 
 class EndpointSource(NamedTuple):
-    """An endpoint list of an earlier time.
+    """A source of cached endpoints: an endpoint list that was received earlier.
 
     Attributes:
         name: The name of the source, for the log.
-        received_at: When service discovery sent the list, in Unix milliseconds; None if it is unknown.
+        received_at: When the list was received from service discovery, in Unix milliseconds; None if unknown.
         version: The version of the list.
         servers: The endpoints.
     """
@@ -44,7 +44,7 @@
 
 
 class CachedEndpoint(NamedTuple):
-    """An endpoint, how far it can be relied on, and the reason in words."""
+    """An endpoint, its reliability, and the reason for that as a text for the log."""
 
     server: ListedEndpoint
     status: CacheStatus
@@ -54,16 +54,16 @@
 def merge_sources(
     sources: Iterable[EndpointSource], now: float, *, warm_up_ms: float, max_age_ms: float
 ) -> list[CachedEndpoint]:
-    """Merges lists into one entry for each endpoint, taken from the most recent source that names it.
+    """Merges lists into one entry for each endpoint, taken from the most recent source that lists it.
 
     Args:
         sources: The lists, in any order.
         now: The current time, in Unix milliseconds.
         warm_up_ms: How long an endpoint warms up after its start.
-        max_age_ms: The age from which a list is not used any more.
+        max_age_ms: The age beyond which a list is no longer used.
 
     Returns:
-        All endpoints of all sources, those that are not used with the status `REJECTED`.
+        All endpoints of all sources; those that must not be used have the status `REJECTED`.
     """
     newest_first = sorted(
         sources, key=lambda s: s.received_at if s.received_at is not None else float("-inf"), reverse=True
@@ -102,7 +102,7 @@
 
 
 def _reject_address_conflicts(endpoints: list[CachedEndpoint], now: float) -> list[CachedEndpoint]:
-    """Rejects all but the latest started of several endpoints with one address.
+    """Rejects all but one of the endpoints that have the same address: the most reliable, latest started one.
 
     Otherwise a request for one endpoint would reach another one.
     """
--- a/violetstack/recovery/panic_threshold.py
+++ b/violetstack/recovery/panic_threshold.py
@@ -1,10 +1,10 @@
-"""A panic threshold for endpoint lists, after the one that Envoy applies to health checks.
+"""A panic threshold for endpoint lists, modelled on Envoy's panic threshold for health checks.
 
-If a complete list lacks too large a share of the endpoints that were active, it is more likely that service
-discovery lost its state than that the endpoints are gone. The missing endpoints are then retained for a
-while. A list that still lacks them after that time is accepted. Endpoints that are announced as leaving or
-left are never retained. The threshold is off unless the operator's file sets a share: on the platform, an
-endpoint that is not listed is gone.
+If a complete list lacks too large a share of the active endpoints, service discovery has more likely lost its
+state than the endpoints have gone. The missing endpoints are then retained for a limited time; a list that
+still lacks them after that time is accepted. Endpoints that were announced as leaving or left are never
+retained. The threshold is off unless the operator's file sets a share: on the platform, an endpoint that is
+not listed is gone.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 class RetainedEndpoints(NamedTuple):
-    """Endpoints that count although the list lacks them.
+    """Endpoints that remain in use although the list lacks them.
 
     Attributes:
-        servers: The missing endpoints, as if they had just started.
-        until: When a list without them is accepted, in Unix milliseconds.
+        servers: The missing endpoints, with the start time set to now.
+        until: When a list without them will be accepted, in Unix milliseconds.
     """
 
     servers: tuple[ListedEndpoint, ...]
@@ -36,8 +36,9 @@
         """Creates a threshold that has not been reached.
 
         Args:
-            missing_share: The share of the active endpoints that has to be missing; infinity turns it off.
-            retention_ms: For how long missing endpoints are retained.
+            missing_share: The share of missing active endpoints from which they are retained; infinity turns
+                the threshold off.
+            retention_ms: How long missing endpoints are retained.
         """
         self._missing_share = missing_share
         self._retention_ms = retention_ms
@@ -49,7 +50,7 @@
         """Checks a complete list against the endpoints in use.
 
         Args:
-            now: The current time.
+            now: The current time, in Unix milliseconds.
             current: The endpoints in use, by id.
             received: The endpoints of the list.
 
--- a/violetstack/recovery/start_times.py
+++ b/violetstack/recovery/start_times.py
@@ -1,9 +1,9 @@
-"""Starts of hosts, on this process's own clock.
+"""Start times of hosts, translated to this process's clock.
 
-Discovery dates the starts of hosts by its wall clock. This process continues the wall clock that it found at
-its own start, which may have been stepped before that. Where the two cannot both be right, the latest start
-that is possible counts: a host that is taken for colder than it is gets fewer requests for a while; one that
-is taken for warmer is overloaded.
+Service discovery reports the start times of hosts by its wall clock. The clock of this process continues the
+wall clock from the process's start, and that may have been stepped before. Where the two cannot both be
+right, the latest possible start time is used: a warm host that is assumed to be warming up gets fewer
+requests for a while, but a host that is warming up and assumed to be warm would be overloaded.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 from violetstack.policy_api import Endpoint, EndpointState, EndpointUpdate, UpdateScope
 
 MAX_RESTART_NOTICE_MS = 10_000.0
-"""A restart of a listed host is told within this time."""
+"""Service discovery reports the restart of a listed host within this time."""
 
 
 class _StartTime(NamedTuple):
-    """When a host started, as discovery dates it, and on this process's clock."""
+    """The start time of a host, as listed by service discovery and on this process's clock."""
 
     listed_ms: float
     local_ms: float
 
 
 class StartTimes:
-    """Translates the starts in endpoint updates. The same start keeps the same translation."""
+    """Translates the start times in endpoint updates. A repeated start time is translated as before."""
 
     def __init__(self) -> None:
-        """Begins without any host."""
+        """Starts without hosts."""
         self._starts: dict[str, _StartTime] = {}
 
     def translate(self, now: float, update: EndpointUpdate) -> EndpointUpdate:
-        """Returns the update with starts on this process's clock.
+        """Returns the update with start times on this process's clock.
 
-        A start that is dated in the future took place by now. A listed host that is told to have restarted
-        did so a short time ago, however long ago its start is dated.
+        A start time in the future becomes now. If the start time of a listed host changes, the host has
+        restarted at most MAX_RESTART_NOTICE_MS ago, however old the new start time is.
 
         Args:
-            now: The time, on this process's clock.
-            update: The update as discovery sent it.
+            now: The current time, on this process's clock.
+            update: The update as service discovery sent it.
         """
         endpoints = tuple(self._translate(now, entry) for entry in update.endpoints)
         if update.scope is not UpdateScope.DELTA:
--- a/violetstack/recovery/startup_phases.py
+++ b/violetstack/recovery/startup_phases.py
@@ -1,13 +1,13 @@
-"""The phases of a start, as a state machine.
+"""The phases of a dispatcher's start, as a state machine.
 
 | phase | requests | ends when |
 | --- | --- | --- |
 | no_endpoints | rejected, with Retry-After | a list is received, or a cached one is loaded |
-| cached_endpoints | admitted; a stale endpoint counts as warming up | service discovery sends a list |
-| warming_up | admitted; warming-up endpoints get a stated share | the warm-up time has passed |
+| cached_endpoints | admitted; a stale endpoint is treated as warming up | service discovery sends a list |
+| warming_up | admitted; endpoints that warm up get a limited share | the warm-up time has passed |
 | ready | admitted | the list becomes empty |
 
-From each phase an empty list leads back to the first one.
+From every phase an empty list leads back to `no_endpoints`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Phase(Enum):
-    """How far a start has come; the values appear in the log."""
+    """The phase of a start; the values appear in the log."""
 
     NO_ENDPOINTS = "no_endpoints"
     CACHED_ENDPOINTS = "cached_endpoints"
@@ -26,7 +26,7 @@
 
 
 class PhaseChange(NamedTuple):
-    """A transition between two phases, with the reason in words."""
+    """A transition between two phases, and the reason for it as a text for the log."""
 
     old: Phase
     new: Phase
@@ -34,14 +34,14 @@
 
 
 class StartupPhases:
-    """The state machine of one start; each event returns the transition that it caused, if any."""
+    """The state machine of one start; each event method returns the transition that it caused, if any."""
 
     def __init__(self, now: float, warm_up_ms: float) -> None:
         """Starts without endpoints.
 
         Args:
-            now: When the process started.
-            warm_up_ms: How long after the first list observations outweigh priors.
+            now: The start time of the process.
+            warm_up_ms: The time from the first list until observations outweigh the prior estimates.
         """
         self.phase = Phase.NO_ENDPOINTS
         self._started_at = now
@@ -49,13 +49,13 @@
         self._listed_at: float | None = None
 
     def cache_loaded(self, endpoints: int) -> PhaseChange | None:
-        """Handles endpoints of an earlier run; `endpoints` is how many there are."""
+        """Handles the loading of cached endpoints of an earlier run; `endpoints` is their number."""
         if endpoints and self.phase is Phase.NO_ENDPOINTS:
             return self._change_to(Phase.CACHED_ENDPOINTS, f"{endpoints} cached endpoints")
         return None
 
     def list_received(self, now: float, endpoints: int) -> PhaseChange | None:
-        """Handles a message of service discovery, after which `endpoints` endpoints are listed."""
+        """Handles a message of service discovery; `endpoints` is the number of endpoints listed after it."""
         if not endpoints:
             self._listed_at = None
             if self.phase is Phase.NO_ENDPOINTS:
@@ -67,7 +67,7 @@
         return None
 
     def learned_state_restored(self) -> PhaseChange | None:
-        """Handles estimates taken over from a previous process, which make a warm-up unnecessary."""
+        """Handles the restoration of a previous process's estimates, which makes a warm-up unnecessary."""
         if self.phase is Phase.WARMING_UP:
             return self._change_to(Phase.READY, "learned state restored")
         return None
