--- a/violetstack/handover/errors.py
+++ b/violetstack/handover/errors.py
@@ -1,19 +1,19 @@
-"""Errors of the hot restart."""
+"""The errors of this package."""
 
 from __future__ import annotations
 
 
 class HandoverError(Exception):
-    """Base class; `reason` names the value that was not accepted, for the log."""
+    """Base class; `reason` is a text for the log that names the rejected value."""
 
     def __init__(self, reason: str) -> None:
-        """Sets the reason, which is also the exception's text."""
+        """Creates an error with the reason as its text."""
         super().__init__(reason)
         self.reason = reason
 
 
 class InvalidRecordError(HandoverError):
-    """A handover record is truncated, corrupt, of another format or dispatcher, or dated in the future."""
+    """A handover record is too long, truncated, corrupt, of another format, or of another dispatcher."""
 
 
 class InvalidOfferError(HandoverError):
--- a/violetstack/handover/learned_state.py
+++ b/violetstack/handover/learned_state.py
@@ -1,7 +1,7 @@
 """A snapshot of the policy's estimates, which a process passes to the next one.
 
-A policy without estimates sends warming hosts only a trickle of requests, gives each tenant its complete
-burst and has to find each failing host again. The snapshot is stored in the handover record as JSON and in
+A policy without estimates sends only few requests to hosts that warm up, grants each tenant its whole burst
+again, and has to detect each failing host anew. The snapshot is stored in the handover record as JSON and in
 the state folder as MessagePack, with the keys of the first release. Times are Unix milliseconds.
 """
 
@@ -19,7 +19,7 @@
 
 
 class DecayingSumSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """A decaying sum at the time of the snapshot, and when its first value was added."""
+    """The value of a decaying sum at the time of the snapshot, and when its first summand was added."""
 
     amount: float
     since_ms: float | None
@@ -40,18 +40,18 @@
 
 
 class EndpointSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """What the policy has learned of one endpoint; valid only for the start at `started_ms`.
+    """The policy's estimates for one endpoint; valid only while its start time is `started_ms`.
 
     Attributes:
-        started_ms: When the endpoint's process started, None if the endpoint list does not say.
-        prefill_cost: Decaying sum of the prefill cost that the endpoint completed.
-        busy_ms: Decaying sum of the time it took.
+        started_ms: When the endpoint's process started; None if the endpoint list does not state it.
+        prefill_cost: Decaying sum of the prefill cost that the endpoint has completed.
+        busy_ms: Decaying sum of the time that this took.
         failure_penalty: Decaying sum of the cost charged for failures.
-        failure_streak: Failures in a row.
-        failed_at_ms: The last failure.
-        slow_start_tokens: Requests that it may be sent while it warms up.
-        memory_share: Share of its memory in use by its last load report, None without one.
-        reported_at_ms: The last load report.
+        failure_streak: The number of consecutive failures.
+        failed_at_ms: The time of the last failure.
+        slow_start_tokens: Token bucket of the requests that the endpoint may be sent while it warms up.
+        memory_share: The share of its memory in use according to its last load report; None without one.
+        reported_at_ms: The time of the last load report.
     """
 
     started_ms: float | None
@@ -71,11 +71,11 @@
     Attributes:
         captured_at_ms: When the snapshot was taken.
         totals: Decaying sums over all endpoints, by the names in `_totals`.
-        started_by_scope: Decaying count of the streams started, by route scope.
-        prefill_times: The last prefill durations.
-        first_token_times: The last times to the first token.
-        tenants: Token buckets of the quotas, by tenant number.
-        endpoints: By endpoint id.
+        started_by_scope: Decaying counts of the started streams, by route scope.
+        prefill_times: The most recent prefill durations.
+        first_token_times: The most recent times to the first token.
+        tenants: The token buckets of the quotas, by tenant number.
+        endpoints: The estimates for each endpoint, by endpoint id.
     """
 
     captured_at_ms: float = msgspec.field(name="at")
@@ -108,12 +108,12 @@
 
 
 def restore_learned_state(policy: PolicyState, state: LearnedState) -> int:
-    """Sets the estimates of a policy that already has the endpoint list.
+    """Restores the estimates of a policy that already has the endpoint list.
 
     An endpoint that is not listed, or that has restarted since the snapshot, is skipped.
 
     Returns:
-        The number of endpoints whose estimates were set.
+        The number of endpoints whose estimates were restored.
     """
     captured_at_ms = state.captured_at_ms
     statistics = policy.statistics
@@ -137,7 +137,7 @@
 
 
 def _totals(statistics: FleetStatistics) -> dict[str, DecayingSum]:
-    """The sums over all endpoints, by their names in the stored snapshot."""
+    """Returns the sums over all endpoints, by their names in the stored snapshot."""
     return {
         "cleared": statistics.cost_done,
         "busy_ms": statistics.busy_ms,
--- a/violetstack/handover/record.py
+++ b/violetstack/handover/record.py
@@ -1,8 +1,8 @@
 """The handover record: the file that a process writes for the other processes of its dispatcher.
 
-Two lines: the format version with the BLAKE2b-128 checksum of the rest in hexadecimal, then a JSON object.
-The JSON keys are those of the first release, since a process of an older release may read the file; the
-attributes have names of their own.
+The file has two lines: the format version with the hexadecimal BLAKE2b-128 checksum of the second line, and a
+JSON object. The JSON keys are those of the first release, since a process of an older release may read the
+file; `msgspec.field(name=...)` maps them to the names here.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 FORMAT_VERSION = "violetstack-record-1"
 CHECKSUM_BYTES = 16
 MAX_RECORD_BYTES = 4 * 1024 * 1024
-MAX_CLOCK_SKEW_MS = 2_000.0  # both processes read the same clock, which may be set back between two reads
+MAX_CLOCK_SKEW_MS = 2_000.0  # both processes use the same clock, but it may be set back between two readings
 MAX_NAME_IN_ERROR = 40
 
 
 class HandoverRecord(msgspec.Struct, frozen=True):
-    """What one process knows and does.
+    """The state of one process that its successor needs.
 
     Attributes:
-        dispatcher: Name of the dispatcher, which all its processes share.
-        process_id: Random name of the process.
+        dispatcher: The name of the dispatcher, which all its processes share.
+        process_id: The random name of the process.
         started_at_ms: When the process started, in Unix milliseconds.
         written_at_ms: When the record was written, in Unix milliseconds.
         accepting: Whether the process accepts client connections.
-        list_version: Version of the endpoint list, 0 if discovery has not answered.
-        endpoints: The endpoint list as discovery sent it.
-        cordons: By host, the last call of an operator that took it out of rotation or put it back.
-        learned_state: The policy's estimates; None without an inherited listener, where no successor can
-            follow.
+        list_version: The version of the endpoint list; 0 if service discovery has not answered.
+        endpoints: The endpoint list as service discovery sent it.
+        cordons: For each host, the last operator call that took it out of rotation or put it back.
+        learned_state: The policy's estimates; None without an inherited listener, because no successor can
+            follow then.
     """
 
     dispatcher: str = msgspec.field(name="name")
@@ -58,13 +58,14 @@
 
 
 def decode_record(data: bytes, dispatcher: str, now_ms: float) -> HandoverRecord:
-    """Reads a record of a process of `dispatcher`.
+    """Decodes a record of a process of `dispatcher`.
 
     A record that is dated more than MAX_CLOCK_SKEW_MS after `now_ms` was written before the wall clock was
-    stepped back. Its estimates decay by the time and are left out; what operators and discovery said holds.
+    stepped back. Its estimates decay with time and are dropped; its cordons and its endpoint list remain
+    valid.
 
     Raises:
-        InvalidRecordError: The data is truncated, corrupt, of another format or another dispatcher.
+        InvalidRecordError: The data is truncated, corrupt, of another format, or of another dispatcher.
     """
     header, _, body = data.partition(b"\n")
     version, _, checksum = header.decode("latin-1").partition(" ")
--- a/violetstack/handover/stream_migration.py
+++ b/violetstack/handover/stream_migration.py
@@ -1,16 +1,16 @@
-"""The messages that move an open stream from one process to its successor, by a two-phase commit.
+"""The messages that move an open stream from one process to its successor, in a two-phase commit.
 
     predecessor                                              successor
     StreamOffer, with the client's and the host's socket ->
                                                           <- READY or DECLINE
     COMMIT                                                ->
 
-Until COMMIT only the predecessor reads and writes the two connections, and a successor that receives no
-COMMIT closes its copies of the sockets. So a client never gets two answers, whichever process dies and
-whichever message is lost.
+Until COMMIT only the predecessor reads from and writes to the two connections, and a successor that receives
+no COMMIT closes its copies of the sockets. A client therefore never gets two answers, whichever process dies
+and whichever message is lost.
 
-The JSON keys and the three words are those of the first release, since the two processes may be of two
-releases.
+The JSON keys and the texts of READY, DECLINE and COMMIT are those of the first release, since the two
+processes may be of different releases.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
 
 
 class StreamOffer(msgspec.Struct, frozen=True):
-    """The stream of one request, between two of its events.
+    """The state of one request's stream, between two of its events.
 
     Attributes:
-        id: Request id.
-        class_index: Number of the request's class.
-        tenant_index: Number of the request's tenant.
-        server: Id of the host that sends the stream.
-        age_ms: Age of the request.
-        events_forwarded: Number of events that the client has been sent.
-        cached_tokens: Prompt tokens that the host found in its cache.
-        prompt_tokens: Size of the prompt.
-        holds_remote_state: Whether a host may hold state for the request, to be released at its end.
+        id: The request id.
+        class_index: The number of the request's class.
+        tenant_index: The number of the request's tenant.
+        server: The id of the host that sends the stream.
+        age_ms: The age of the request.
+        events_forwarded: The number of events that the client has been sent.
+        cached_tokens: The number of prompt tokens that the host found in its cache.
+        prompt_tokens: The length of the prompt.
+        holds_remote_state: Whether a host may hold state for the request that has to be released at its end.
         closing: Whether the response head announced that the client's connection closes after the response.
-        version: Version of this message.
+        version: The version of this message.
     """
 
     id: str
@@ -58,15 +58,15 @@
 
 
 def encode_offer(offer: StreamOffer) -> bytes:
-    """Returns the offer as JSON."""
+    """Encodes the offer as JSON."""
     return msgspec.json.encode(offer)
 
 
 def decode_offer(data: bytes, class_count: int) -> StreamOffer:
-    """Reads an offer for a dispatcher with `class_count` request classes.
+    """Decodes an offer, for a dispatcher with `class_count` request classes.
 
     Raises:
-        InvalidOfferError: The data is no offer, or is of another version or an unknown class.
+        InvalidOfferError: The data is not an offer, or the offer is of another version or an unknown class.
     """
     try:
         offer = msgspec.json.decode(data, type=StreamOffer)
--- a/violetstack/handover/successor.py
+++ b/violetstack/handover/successor.py
@@ -1,4 +1,4 @@
-"""Which other processes of this dispatcher run, and which of them takes over, derived from their records."""
+"""Determines from the handover records which processes of a dispatcher run, and which of them takes over."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 class SiblingProcesses:
     """The other processes of one dispatcher on this machine.
 
-    Processes are ordered by their start: the successor of a process is the latest that started after it and
-    accepts clients. Starts are Unix milliseconds as the processes have ordered them (`start_after_known`);
-    the times at which records were seen are of this process's monotonic clock.
+    Processes are ordered by their start time: the successor of a process is the latest one that started after
+    it and accepts clients. Start times are Unix milliseconds, adjusted by `order_after_known`; the times at
+    which records were last written are those of this process's monotonic clock.
     """
 
     def __init__(self, process_id: str, started_at_ms: float) -> None:
-        """Creates a view without any other process.
+        """Starts without other processes.
 
         Args:
-            process_id: Random name of this process.
+            process_id: The random name of this process.
             started_at_ms: When this process started.
         """
         self.process_id = process_id
@@ -31,9 +31,12 @@
         self._last_seen_ms: dict[str, float] = {}
 
     def update(self, changed: Iterable[HandoverRecord], last_seen_ms: Mapping[str, float]) -> None:
-        """Takes the records that changed, and when each process that still has one last wrote it.
+        """Updates the records.
 
-        The record of a process that is missing in `last_seen_ms` is dropped.
+        Args:
+            changed: The records that have changed.
+            last_seen_ms: When each process that still has a record last wrote it. The record of a process
+                that is missing here is dropped.
         """
         for record in changed:
             if record.process_id != self.process_id:
@@ -42,15 +45,16 @@
         self._last_seen_ms = dict(last_seen_ms)
 
     def order_after_known(self) -> None:
-        """Orders this process behind those that were there before it, whatever the wall clock showed them.
+        """Orders this process after all processes known so far, whatever start times they have recorded.
 
-        After a step back, the predecessor's start would be the later one: it would count as the successor.
+        If the wall clock was stepped back, the predecessor would otherwise have the later start time and be
+        taken for the successor.
         """
         latest = max((record.started_at_ms for record in self._records.values()), default=0.0)
         self.started_at_ms = max(self.started_at_ms, latest + 1.0)
 
     def latest_record(self) -> HandoverRecord | None:
-        """The last record of the process that started last, whether or not it is alive."""
+        """Returns the latest record of the process that started last, whether or not it is alive."""
         return max(
             self._records.values(),
             key=lambda record: (record.started_at_ms, record.written_at_ms),
@@ -58,7 +62,7 @@
         )
 
     def latest_cordons(self) -> dict[str, Cordon]:
-        """By host, the latest operator call that any process has recorded."""
+        """Returns for each host the latest operator call that any process has recorded."""
         latest: dict[str, Cordon] = {}
         for record in self._records.values():
             for host, cordon in record.cordons.items():
@@ -67,16 +71,16 @@
         return latest
 
     def alive(self, now_ms: float) -> list[HandoverRecord]:
-        """Records of the processes that wrote one within the last ALIVE_TIMEOUT_MS."""
+        """Returns the records of the processes that have written one within the last ALIVE_TIMEOUT_MS."""
         oldest_ms = now_ms - ALIVE_TIMEOUT_MS
         return [r for name, r in self._records.items() if self._last_seen_ms.get(name, 0.0) > oldest_ms]
 
     def any_alive(self, now_ms: float) -> bool:
-        """Whether another process uses a part of the machine's limits."""
+        """Returns whether another process is alive, which then shares the machine's limits with this one."""
         return bool(self.alive(now_ms))
 
     def successor(self, now_ms: float) -> HandoverRecord | None:
-        """The live process that accepts clients in this one's place, None if there is none."""
+        """Returns the live process that accepts clients in place of this one, None if there is none."""
         own_start = (self.started_at_ms, self.process_id)
         later = [r for r in self.alive(now_ms) if r.accepting and (r.started_at_ms, r.process_id) > own_start]
         return max(later, key=lambda record: record.started_at_ms, default=None)
--- a/violetstack/state/errors.py
+++ b/violetstack/state/errors.py
@@ -4,15 +4,15 @@
 
 
 class StateError(Exception):
-    """The base class of errors in stored state."""
+    """The base class of errors in the stored state."""
 
 
 class StateFileError(StateError):
-    """The base class of errors for which nothing of a file can be used."""
+    """The base class of errors after which nothing in a file can be used."""
 
 
 class TruncatedHeaderError(StateFileError):
-    """A file that is shorter than its header.
+    """A file is shorter than its header.
 
     Attributes:
         size: The length of the file in bytes.
@@ -27,20 +27,20 @@
 
 
 class UnknownFormatError(StateFileError):
-    """A file that was not written by this program.
+    """A file was not written by this program.
 
     Attributes:
         magic: The first bytes of the file.
     """
 
     def __init__(self, magic: bytes) -> None:
-        """Creates an error that names the first bytes."""
+        """Creates an error that names the first bytes of the file."""
         super().__init__(f"not a state file: begins with {magic!r}")
         self.magic = magic
 
 
 class UnsupportedVersionError(StateFileError):
-    """A file in a format version that this release cannot read.
+    """A file has a format version that this release cannot read.
 
     Attributes:
         version: The version of the file.
@@ -55,7 +55,7 @@
 
 
 class GenerationMismatchError(StateFileError):
-    """A file whose header has another generation than its name.
+    """The generation in a file's header differs from the one in its name.
 
     Attributes:
         generation: The generation in the header.
@@ -70,10 +70,10 @@
 
 
 class InvalidSnapshotError(StateFileError):
-    """A snapshot that is not complete.
+    """A snapshot is incomplete.
 
     Attributes:
-        reason: What is wrong with it, in words.
+        reason: Why the snapshot is invalid, as a text.
     """
 
     def __init__(self, reason: str) -> None:
@@ -83,11 +83,11 @@
 
 
 class RecordError(StateError):
-    """A record whose checksum is right, but whose body cannot be decoded.
+    """The body of a record cannot be decoded although its checksum is right.
 
     Attributes:
         kind: The kind of the record.
-        reason: What is wrong with its body, in words.
+        reason: Why the body is invalid, as a text.
     """
 
     def __init__(self, kind: int, reason: str) -> None:
--- a/violetstack/state/records.py
+++ b/violetstack/state/records.py
@@ -1,7 +1,7 @@
 """The file format: a header, then records, each with its length and a CRC-32 checksum.
 
-The checksum reveals a record that was cut off by a crash (a torn write) and one that was corrupted later. All
-integers are big-endian:
+The checksum detects records that were cut off by a crash (torn writes) or corrupted later. All integers are
+big-endian:
 
 - header: magic (4 bytes), format version (2), generation (8);
 - record: length of the body (4), CRC-32 of kind and body (4), kind (1), body.
@@ -19,11 +19,11 @@
 FORMAT_VERSION = 1
 FILE_HEADER = struct.Struct(">4sHQ")
 RECORD_HEADER = struct.Struct(">IIB")
-MAX_BODY_BYTES = 8 * 1024 * 1024  # a longer length is taken for corruption
+MAX_BODY_BYTES = 8 * 1024 * 1024  # a greater length in a record header is treated as corruption
 
 
 class Record(NamedTuple):
-    """A record; what its kinds mean is up to the caller."""
+    """A record; the caller defines the meaning of `kind`."""
 
     kind: int
     body: bytes
@@ -34,8 +34,8 @@
 
     Attributes:
         generation: The generation in the header.
-        records: The records before the first one that is invalid.
-        valid_bytes: The length of the file up to there.
+        records: The records before the first invalid one.
+        valid_bytes: The length of the header and these records.
         error: Why the next record is invalid; empty if all records are valid.
     """
 
--- a/violetstack/state/snapshot.py
+++ b/violetstack/state/snapshot.py
@@ -1,6 +1,6 @@
-"""The state that is stored, and the log records that change it. Times are Unix milliseconds.
+"""The stored state, and the log records that change it. Times are Unix milliseconds.
 
-The names in the files are those of earlier releases; `msgspec.field(name=...)` maps them to the names here.
+The keys in the files are those of earlier releases; `msgspec.field(name=...)` maps them to the names here.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RecordKind(IntEnum):
-    """The kinds of records; a reader skips kinds that it does not know."""
+    """The kinds of records; unknown kinds are skipped when a file is read."""
 
     SNAPSHOT = 1
     ENDPOINT_LIST = 2
@@ -27,7 +27,7 @@
 
 
 class EndpointMessage(msgspec.Struct, frozen=True):
-    """A message of service discovery: a complete endpoint list, or changes to one."""
+    """A message of service discovery: a complete endpoint list, or changes to it."""
 
     received_at: float = msgspec.field(name="at")
     version: int
@@ -35,13 +35,13 @@
 
 
 class StateSnapshot(msgspec.Struct):
-    """The state at one time.
+    """The state at one moment.
 
     Attributes:
         received_at: When service discovery last sent a message; 0 if it never did.
         version: The version of the endpoint list.
         servers: The listed endpoints, by id.
-        learned: The estimates of the decision module, with a time of their own.
+        learned: The policy's estimates, which have their own time; None if there are none.
     """
 
     received_at: float = msgspec.field(default=0.0, name="heard_at")
@@ -54,7 +54,7 @@
         return encode_record(RecordKind.SNAPSHOT, msgspec.msgpack.encode(self))
 
     def apply_endpoints(self, message: EndpointMessage, *, complete: bool) -> None:
-        """Replaces the endpoint list if the message is `complete`, else changes it."""
+        """Replaces the endpoint list if the message is `complete`, otherwise applies its changes."""
         if complete:
             self.servers = {}
         for server in message.servers:
@@ -69,7 +69,7 @@
         """Applies log records in order, up to the first one that cannot be decoded.
 
         Raises:
-            RecordError: If a record cannot be decoded; those before it are applied.
+            RecordError: A record cannot be decoded; those before it have been applied.
         """
         for record in records:
             try:
@@ -91,15 +91,15 @@
             case RecordKind.LEARNED_STATE:
                 self.learned = msgspec.msgpack.decode(record.body, type=LearnedState)
             case _:
-                pass  # written by a later release
+                pass  # a kind that a later release has written
 
 
 def encode_endpoints(message: EndpointMessage, *, complete: bool) -> bytes:
-    """Returns a message of service discovery as a log record."""
+    """Encodes a message of service discovery as a log record."""
     kind = RecordKind.ENDPOINT_LIST if complete else RecordKind.ENDPOINT_CHANGES
     return encode_record(kind, msgspec.msgpack.encode(message))
 
 
 def encode_learned(learned: LearnedState) -> bytes:
-    """Returns estimates of the decision module as a log record."""
+    """Encodes the policy's estimates as a log record."""
     return encode_record(RecordKind.LEARNED_STATE, msgspec.msgpack.encode(learned))
--- a/violetstack/state/store.py
+++ b/violetstack/state/store.py
@@ -1,9 +1,9 @@
-"""Snapshots and logs in a directory: which files there are, and how the state is recovered from them.
+"""Snapshots and logs in a directory: writing them, and recovering the state from them.
 
-There are two generations of files, each a snapshot and a log. A snapshot is written under a temporary name
-and renamed once it is synced, so a file with a snapshot's name is complete. Later changes are appended to
-the generation's log, one sync for each group of records. Recovery takes the newest generation whose
-snapshot is valid, and its log up to the first invalid record.
+Two generations of files are kept, each with a snapshot and a log. A snapshot is written under a temporary
+name and renamed after it has been synced, so a file with the name of a snapshot is complete. Later changes
+are appended to the log of the generation, with one sync for each group of records. Recovery uses the newest
+generation whose snapshot is valid, and its log up to the first invalid record.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 FILE_NAME = re.compile(r"state-(\d{1,18})\.(snapshot|log)\Z")
 TEMPORARY_NAME = "state.part"
-# A new snapshot is due once the log is larger than this, and than so many snapshots: it bounds the time of a
-# recovery without writing snapshots all the time.
+# A new snapshot is due once the log is larger than MIN_LOG_BYTES and than MAX_LOG_TO_SNAPSHOT_RATIO times the
+# snapshot. This bounds the recovery time without writing snapshots too often.
 MIN_LOG_BYTES = 64 * 1024
 MAX_LOG_TO_SNAPSHOT_RATIO = 4
 GENERATIONS_RETAINED = 2
@@ -41,25 +41,25 @@
         """Returns the content of a file."""
 
     def write(self, name: str, data: bytes) -> None:
-        """Creates or replaces a file, and syncs it and the directory, which is created if it is missing."""
+        """Creates or replaces a file; creates the directory if it is missing; syncs both."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Appends to a file and syncs it; fails if there is no such file."""
+        """Appends to a file and syncs it; fails if the file does not exist."""
 
     def rename(self, old: str, new: str) -> None:
-        """Renames a file, replacing one that has the new name, and syncs the directory."""
+        """Renames a file, replacing any file that has the new name, and syncs the directory."""
 
     def remove(self, name: str) -> None:
         """Removes a file."""
 
 
 class RecoveredState(NamedTuple):
-    """What was recovered from a directory.
+    """The state recovered from a directory.
 
     Attributes:
-        snapshot: The state; empty if there was none.
-        generation: The generation that it was read from; 0 if there was none.
-        problems: What could not be read, one line each.
+        snapshot: The recovered state; empty if there was none.
+        generation: The generation from which the state was read; 0 if there was none.
+        problems: The files that could not be read, or not to the end, with the reasons; one line each.
     """
 
     snapshot: StateSnapshot
@@ -78,13 +78,13 @@
 
 
 def generations(names: list[str]) -> list[int]:
-    """Returns the generations that have a snapshot among the file names, the newest first."""
+    """Returns the generations whose snapshot is among the file names, newest first."""
     found = {int(match[1]) for name in names if (match := FILE_NAME.match(name)) and match[2] == "snapshot"}
     return sorted(found, reverse=True)
 
 
 def obsolete_files(names: list[str], newest: int) -> list[str]:
-    """Returns the state files that no recovery would read: old generations, and logs without a snapshot."""
+    """Returns the state files that recovery never reads: old generations, and logs without a snapshot."""
     retained = set(generations(names)[:GENERATIONS_RETAINED]) | {newest}
     matches = [match for name in names if (match := FILE_NAME.match(name))]
     return [match.string for match in matches if int(match[1]) not in retained]
@@ -94,7 +94,7 @@
     """Recovers the state from the newest generation that can be read.
 
     Raises:
-        OSError: If the directory cannot be listed. A file that cannot be read is reported as a problem.
+        OSError: The directory cannot be listed. A file that cannot be read is reported as a problem instead.
     """
     names = directory.names()
     problems: list[str] = []
@@ -120,7 +120,7 @@
 
 
 def _replay_log(directory: Directory, generation: int, snapshot: StateSnapshot) -> list[str]:
-    """Applies a log to its snapshot; returns what could not be read."""
+    """Applies a log to its snapshot; returns the problems met, one line each."""
     name = log_name(generation)
     try:
         file = _read_file(directory, name, generation)
@@ -141,36 +141,37 @@
 
 
 class SnapshotStore:
-    """Writes snapshots and logs; the only writer of its directory.
+    """Writes snapshots and logs; must be the only writer of its directory.
 
-    A method that raises leaves the directory in a state that can be recovered from; a snapshot is due then.
+    After a method has raised an error, the state can still be recovered from the directory, and a snapshot is
+    due.
 
     Attributes:
         generation: The generation of the latest snapshot.
     """
 
     def __init__(self, directory: Directory, recovered: RecoveredState) -> None:
-        """Continues after what was recovered. A snapshot is due first.
+        """Creates a store that continues from a recovered state. A snapshot is due at first.
 
         Raises:
-            OSError: If the directory cannot be listed.
+            OSError: The directory cannot be listed.
         """
         self._directory = directory
         self.generation = max([recovered.generation, *generations(directory.names())], default=0)
         self._snapshot_bytes = 0
         self._log_bytes = 0
-        self._consistent = False  # the generation's files hold all that this writer wrote, and nothing else
+        self._consistent = False  # whether the generation's files hold exactly what this store has written
 
     def snapshot_due(self, additional_bytes: int) -> bool:
-        """Returns whether to write a snapshot, rather than to append so many bytes to the log."""
+        """Returns whether to write a snapshot instead of appending `additional_bytes` to the log."""
         max_log_bytes = max(MIN_LOG_BYTES, MAX_LOG_TO_SNAPSHOT_RATIO * self._snapshot_bytes)
         return not self._consistent or self._log_bytes + additional_bytes > max_log_bytes
 
     def append(self, records: bytes) -> None:
-        """Appends encoded records to the log; only if no snapshot is due.
+        """Appends encoded records to the log; to be called only if no snapshot is due.
 
         Raises:
-            OSError: If they may not have been written.
+            OSError: The records may not have been written.
         """
         self._consistent = False
         name = log_name(self.generation)
@@ -182,10 +183,10 @@
         self._consistent = True
 
     def write_snapshot(self, snapshot: bytes) -> None:
-        """Begins a new generation with an encoded snapshot, and removes obsolete files.
+        """Starts a new generation with an encoded snapshot, and removes obsolete files.
 
         Raises:
-            OSError: If it may not have been written, or an obsolete file could not be removed.
+            OSError: The snapshot may not have been written, or an obsolete file could not be removed.
         """
         self._consistent = False
         generation = self.generation + 1
