--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -167,11 +167,11 @@
         try:
             taken = fill_descriptors()
             first = reserve.open_socket(socket.AF_INET)
-            assert reserve.spares == 0
+            assert reserve.spare_count == 0
             with pytest.raises(OSError, match="Too many open files"):
                 reserve.open_socket(socket.AF_INET)
             reserve.close_socket(trio.socket.from_stdlib_socket(first))
-            assert reserve.spares == 1
+            assert reserve.spare_count == 1
             with pytest.raises(OSError, match="Too many open files"):
                 socket.socket()
         finally:
--- a/violetstack/net/transient_errors.py
+++ b/violetstack/net/transient_errors.py
@@ -1,6 +1,7 @@
-"""Sends and reads on sockets that the system refuses for a moment, for lack of memory or of buffers.
+"""Retries sends and reads that fail temporarily, because the system lacks memory or buffers.
 
-The connection is as good as before (send(2), recv(2)), so the call is made again, as after EAGAIN.
+Such an error does not affect the connection (see send(2) and recv(2)), so the call is repeated as after
+EAGAIN.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 
 def is_transient(error: BaseException | None) -> bool:
-    """Whether the call may be made again."""
+    """Whether the call that raised this error may be repeated."""
     return isinstance(error, OSError) and error.errno in TRANSIENT_ERRORS
 
 
 def is_readable(open_socket: trio.socket.SocketType, *, if_unknown: bool) -> bool:
-    """Whether there is something to read or to accept; `if_unknown` if the system cannot tell.
+    """Whether the socket has something to read or to accept; `if_unknown` if poll(2) lacks memory.
 
-    poll(2) fails for lack of memory. Whoever closes what is not readable passes True, whoever reads until
-    nothing is left passes False.
+    Callers that close a socket that is not readable pass True; callers that read until nothing is left pass
+    False.
     """
     try:
         return bool(open_socket.is_readable())
@@ -37,9 +38,11 @@
 
     Raises:
         trio.BrokenResourceError: The connection broke.
-        trio.ClosedResourceError: It was closed here.
+        trio.ClosedResourceError: This process has closed it.
     """
-    if not isinstance(stream, trio.SocketStream):  # TLS keeps what it has encrypted to itself
+    if not isinstance(
+        stream, trio.SocketStream
+    ):  # a TLS stream retains its encrypted bytes, so a send cannot be repeated
         await stream.send_all(data)
         return
     rest = memoryview(data)
@@ -50,21 +53,21 @@
             if is_transient(error):
                 await trio.sleep(RETRY_S)
             elif stream.socket.fileno() < 0:
-                raise trio.ClosedResourceError("closed here") from None
+                raise trio.ClosedResourceError("this process has closed the connection") from None
             else:
                 raise trio.BrokenResourceError(f"socket connection broken: {error}") from error
 
 
 def _ignore_retry() -> None:
-    """Where it does not matter how often a read is made."""
+    """Default of `on_retry`: does nothing."""
 
 
 async def receive_some(
     stream: trio.abc.Stream, max_bytes: int, on_retry: Callable[[], None] = _ignore_retry
 ) -> bytes | bytearray:
-    """Receives up to `max_bytes`; empty at the stream's end. Raises as `trio.abc.ReceiveStream` does.
+    """Receives up to `max_bytes`; empty at the end of the stream. Raises as `trio.abc.ReceiveStream` does.
 
-    `on_retry` is called in the step in which a read has failed that is made again.
+    `on_retry` is called when a read has failed and will be repeated, before any other task runs.
     """
     while True:
         try:
@@ -77,7 +80,7 @@
 
 
 async def receive(sock: trio.socket.SocketType, max_bytes: int) -> bytes:
-    """Receives up to `max_bytes`; empty at the connection's end. Raises OSError."""
+    """Receives up to `max_bytes`; empty at the end of the connection. Raises OSError."""
     while True:
         try:
             return await sock.recv(max_bytes)
@@ -88,10 +91,10 @@
 
 
 def send_some(raw: socket.socket, data: memoryview) -> int:
-    """Sends as much of `data` as goes out at once, without waiting.
+    """Sends as much of `data` as the socket accepts without waiting; returns the number of bytes.
 
     Raises:
-        BlockingIOError: Nothing does now, for whatever reason that passes.
+        BlockingIOError: Nothing can be sent now, because of a full buffer or a transient error.
         OSError: The connection broke.
     """
     try:
