--- a/violetstack/net/__init__.py
+++ b/violetstack/net/__init__.py
@@ -1,1 +1,1 @@
-"""Thin trio drivers: they read, write, wait and cancel; what bytes mean is decided elsewhere."""
+"""Thin I/O drivers on trio: they read, write, wait and cancel. Other packages interpret the data."""
--- a/violetstack/net/acme.py
+++ b/violetstack/net/acme.py
@@ -1,6 +1,6 @@
-"""Certificates by ACME (RFC 8555): order, http-01 challenge, issue and renewal.
+"""Orders and renews certificates by ACME (RFC 8555) with http-01 challenges.
 
-Imported only where it is configured: its libraries take several MiB.
+Imported only if ACME is configured, because its libraries use several MiB of memory.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 from violetstack.operator_config import AcmeConfig, TlsFiles
 from violetstack.protocol.http_server import HttpRequest
 
-ORDER_TIMEOUT_S = 90.0  # from the order to the certificate
+ORDER_TIMEOUT_S = 90.0  # from the order to the issued certificate
 REQUEST_TIMEOUT_S = 30
-FIRST_RETRY_S = 5.0  # after a failed order; doubled up to the time between checks
+FIRST_RETRY_S = 5.0  # after a failed order; doubles up to the interval between checks
 SECONDS_PER_DAY = 86400.0
 MAX_ERROR_LENGTH = 500
 OWNER_ONLY = 0o600
 
 
 class ChallengeFront:
-    """The front that answers the authority's http-01 requests, and nothing else."""
+    """Answers the http-01 requests of the certificate authority; any other request gets a 404."""
 
     def __init__(self) -> None:
-        """Answers with 404 until a response is added."""
+        """Creates a front that answers with 404 until a response is added."""
         self._responses: dict[str, str] = {}  # by path
 
     def add(self, path: str, validation: str) -> None:
@@ -50,7 +50,7 @@
         self._responses.clear()
 
     def handle(self, inbound: HttpRequest, reply: Reply) -> None:
-        """Answers one request."""
+        """Answers a request."""
         validation = self._responses.get(inbound.path) if inbound.method == "GET" else None
         if validation is None:
             reply.answer(404, TEXT, b"not found\n")
@@ -58,7 +58,7 @@
             reply.answer(200, [("Content-Type", "application/octet-stream")], validation.encode())
 
     def rejected(self, status: int, reason: str, reply: Reply) -> None:
-        """Answers a request that could not be read."""
+        """Answers a request that could not be parsed."""
         reply.answer(status, TEXT, reason.encode() + b"\n")
 
 
@@ -70,24 +70,25 @@
 
 
 class PrivateKey(NamedTuple):
-    """A key, and its PEM form without a password."""
+    """A key, and its PEM encoding without a password."""
 
     key: ec.EllipticCurvePrivateKey
     pem: bytes
 
 
 class AcmeClient:
-    """The account with one authority. Its methods block and run on a thread."""
+    """An account with a certificate authority. The methods block, so they run on a thread."""
 
     def __init__(self, config: AcmeConfig, front: ChallengeFront) -> None:
-        """Takes the front that the authority reaches; nothing is sent before `issue`."""
+        """Creates a client; `front` answers the challenges. Nothing is sent before `issue`."""
         self._config = config
         self._front = front
 
     def issue(self) -> IssuedCertificate:
-        """Orders one certificate and answers its challenges.
+        """Orders a certificate and answers its challenges.
 
-        Raises acme.errors.Error, and what its HTTP client raises, if the order fails.
+        Raises:
+            acme.errors.Error: The order failed; the HTTP client may also raise errors of its own.
         """
         account_key = self._account_key()
         authority = self._connect(account_key)
@@ -118,7 +119,7 @@
             key,
             alg=ES256,
             user_agent="violetstack",
-            verify_ssl=trust,  # type: ignore[arg-type]  # requests takes a file of roots here too
+            verify_ssl=trust,  # type: ignore[arg-type]  # requests also accepts a file of root certificates
             timeout=REQUEST_TIMEOUT_S,
         )
         authority = client.ClientV2(client.ClientV2.get_directory(self._config.directory, net), net)
@@ -126,16 +127,20 @@
         registration = messages.NewRegistration(contact=contact, terms_of_service_agreed=True)
         try:
             authority.new_account(registration)
-        except errors.ConflictError as known:  # the account exists
-            net.account = messages.RegistrationResource(body=messages.Registration(), uri=known.location)
+        except errors.ConflictError as conflict:  # the account exists already
+            net.account = messages.RegistrationResource(body=messages.Registration(), uri=conflict.location)
         return authority
 
     def _answer_challenge(
         self, authority: client.ClientV2, authorization: messages.AuthorizationResource, key: JWKEC
     ) -> None:
-        offered = [c for c in authorization.body.challenges if isinstance(c.chall, challenges.HTTP01)]
+        offered = [
+            candidate
+            for candidate in authorization.body.challenges
+            if isinstance(candidate.chall, challenges.HTTP01)
+        ]
         if not offered:
-            raise errors.Error("the authority offers no http-01 challenge")
+            raise errors.Error("the certificate authority offers no http-01 challenge")
         challenge = offered[0]
         response, validation = challenge.response_and_validation(key)
         self._front.add(challenge.chall.path, validation)
@@ -143,22 +148,23 @@
 
 
 class CertificateLifetime(NamedTuple):
-    """Of the certificate in the files, in seconds; both are 0 where none can be read."""
+    """Remaining and total lifetime of a certificate, in seconds; both are 0 if it cannot be read."""
 
     left_s: float
     total_s: float
 
     def is_renewal_due(self, renew_before_days: float) -> bool:
-        """True within the set time before expiry, but not before the last third of the lifetime.
+        """Returns whether expiry is nearer than `renew_before_days` and than a third of the lifetime.
 
-        Without that bound a certificate that lives shorter than the set time is ordered at every check.
+        Without the second condition, a certificate with a lifetime below `renew_before_days` would be ordered
+        at every check.
         """
         renew_before_s = min(renew_before_days * SECONDS_PER_DAY, self.total_s / 3.0)
         return self.left_s < renew_before_s or not self.left_s
 
 
-def lifetime_of(files: TlsFiles) -> CertificateLifetime:
-    """Reads the certificate's validity."""
+def read_lifetime(files: TlsFiles) -> CertificateLifetime:
+    """Reads the lifetime of the certificate in the files."""
     try:
         certificate = x509.load_pem_x509_certificate(Path(files.certificate).read_bytes())
     except (OSError, ValueError):
@@ -172,22 +178,22 @@
 async def renew_certificate(
     config: AcmeConfig, certificate: Certificate, issue: Callable[[], IssuedCertificate]
 ) -> None:
-    """Orders a certificate whenever there is none or it is near its end, until cancelled.
+    """Orders a certificate whenever it is missing or due for renewal, until cancelled.
 
-    A failed order keeps the certificate in use and is tried again with backoff.
+    After a failed order the current certificate stays in use, and the order is retried with backoff.
     """
     retry_s = min(FIRST_RETRY_S, config.check_every_s)
     loaded = False
     while True:
-        lifetime = lifetime_of(certificate.files)
+        lifetime = read_lifetime(certificate.files)
         if lifetime.left_s and not loaded:
             loaded = certificate.reload()
         wait_s = config.check_every_s
         if not loaded or lifetime.is_renewal_due(config.renew_before_days):
             try:
-                loaded = await _order(certificate, issue, config.domains)
+                loaded = await _order_certificate(certificate, issue, config.domains)
                 retry_s = min(FIRST_RETRY_S, config.check_every_s)
-            except Exception as error:  # the library raises many kinds; none may end the service
+            except Exception as error:  # the library raises errors of many types; none may end the service
                 log(
                     "certificate_order_failed",
                     error=repr(error)[:MAX_ERROR_LENGTH],
@@ -198,10 +204,10 @@
         await trio.sleep(wait_s)
 
 
-async def _order(
+async def _order_certificate(
     certificate: Certificate, issue: Callable[[], IssuedCertificate], domains: list[str]
 ) -> bool:
-    """Returns whether the new certificate could be loaded."""
+    """Orders and stores a certificate; returns whether it could be loaded."""
     issued = await trio.to_thread.run_sync(issue, abandon_on_cancel=True)
     _write_private_file(Path(certificate.files.key), issued.key)
     _write_private_file(Path(certificate.files.certificate), issued.chain)
@@ -209,13 +215,13 @@
     log(
         "certificate_issued",
         domains=domains,
-        days=lifetime_of(certificate.files).left_s / SECONDS_PER_DAY,
+        days=read_lifetime(certificate.files).left_s / SECONDS_PER_DAY,
     )
     return loaded
 
 
 def _write_private_file(path: Path, data: bytes) -> None:
-    """Writes the file completely or not at all, readable by its owner only."""
+    """Replaces the file atomically, readable only by its owner."""
     new = path.with_name(path.name + ".new")
     with os.fdopen(os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, OWNER_ONLY), "wb") as file:
         file.write(data)
--- a/violetstack/net/admin_server.py
+++ b/violetstack/net/admin_server.py
@@ -1,6 +1,7 @@
 """The admin API's listener.
 
-It has few connections of its own, so that a crowd of clients cannot keep operators out, nor the reverse.
+It has a small number of connections of its own, so that many clients cannot lock out operators, or the
+reverse.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from violetstack.admin.api import AdminConnection, AdminOperations
 from violetstack.log import log, log_rate_limited
 
-MAX_CONNECTIONS = 16  # beyond it, the connection whose request has been incomplete for longest is closed
-REQUEST_TIMEOUT_S = 5.0  # for a complete request
+MAX_CONNECTIONS = 16  # at this number, the connection whose request has been incomplete for longest is closed
+REQUEST_TIMEOUT_S = 5.0  # to receive a complete request
 RESPONSE_TIMEOUT_S = 2.0  # for the client to read the response
 READ_SIZE_BYTES = 2048
 ACCEPT_RETRY_S = 0.05
@@ -24,9 +25,11 @@
     """Serves the admin API; each connection carries one request."""
 
     def __init__(self, operations: AdminOperations) -> None:
-        """Takes the operations that the API offers."""
+        """Creates a server of these operations."""
         self._operations = operations
-        self._waiting: dict[trio.CancelScope, None] = {}  # request incomplete; oldest first
+        self._waiting: dict[
+            trio.CancelScope, None
+        ] = {}  # connections with an incomplete request, oldest first
         self._open = 0
         self._closed = trio.Event()
 
@@ -34,7 +37,7 @@
         """Serves until cancelled.
 
         Raises:
-            OSError: Accepting failed for a reason that will not go away.
+            OSError: Accepting connections failed permanently.
         """
         async with listener, trio.open_nursery() as nursery:
             while True:
@@ -66,7 +69,12 @@
             with scope:
                 await self._serve_request(stream, scope)
             if scope.cancelled_caught:
-                log_rate_limited("admin_call_rejected", path="", status=0, reason="made room for other calls")
+                log_rate_limited(
+                    "admin_call_rejected",
+                    path="",
+                    status=0,
+                    reason="closed to make room for other connections",
+                )
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         except Exception as error:  # a bug in serving one connection must not end the server
@@ -92,7 +100,8 @@
         with trio.move_on_after(RESPONSE_TIMEOUT_S):
             if timeout.cancelled_caught:
                 await stream.send_all(connection.time_out())
-            # Closing with unread input would reset the connection and could destroy the response on its way.
+            # Closing with unread input would reset the connection, which could destroy the response in
+            # transit.
             await stream.send_eof()
             while await stream.receive_some(READ_SIZE_BYTES):
                 pass
--- a/violetstack/net/admin_service.py
+++ b/violetstack/net/admin_service.py
@@ -1,4 +1,4 @@
-"""The operations of the admin API on a running dispatcher: metrics, cordons and leases."""
+"""Implements the admin API on a running dispatcher: metrics, cordons and leases."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class AdministeredDaemon(Protocol):
-    """What the admin service reads and calls of a daemon."""
+    """The part of a daemon that the admin service uses."""
 
     config: Config
     cordons: Cordons | None
@@ -68,17 +68,17 @@
 
     @property
     def handover(self) -> HandoverService | None:
-        """The record that this process keeps for another of its dispatcher."""
+        """Writes the handover record for other processes of this dispatcher."""
 
     def publish(self, update: EndpointUpdate, addresses: dict[str, str]) -> None:
-        """Hands an update of the endpoint list to the connection pool and the core."""
+        """Passes an update of the endpoint list to the connection pool and the core."""
 
 
 class AdminService:
     """Implements `violetstack.admin.api.AdminOperations` on a daemon."""
 
     def __init__(self, daemon: AdministeredDaemon) -> None:
-        """Takes the daemon to operate on."""
+        """Creates a service that operates on `daemon`."""
         self._daemon = daemon
 
     @property
@@ -92,7 +92,7 @@
         return self._daemon.accepting
 
     def stats(self) -> StatsResponse:
-        """Returns the metrics as they are now."""
+        """Returns the current metrics."""
         daemon = self._daemon
         return stats_response(
             daemon.core.metrics,
@@ -102,16 +102,16 @@
         )
 
     def invariants(self) -> InvariantsResponse:
-        """Returns the violations of the operators' rules that this process has counted."""
+        """Returns how often this process has violated each invariant."""
         violations = self._daemon.core.invariants.violations
         return InvariantsResponse(
             {rule.value: violations[rule] for rule in Rule},
             dropped_lines(),
-            {kind.value: self._closes_violating(kind) for kind in Violation},
+            {kind.value: self._violation_count(kind) for kind in Violation},
             self._daemon.core.hold_summary(now_ms()),
         )
 
-    def _closes_violating(self, kind: Violation) -> int:
+    def _violation_count(self, kind: Violation) -> int:
         return sum(listener.closes.violations[kind] for listener in self._daemon.listeners)
 
     # --- cordons ---
@@ -121,11 +121,11 @@
 
         Raises:
             UnknownEndpointError: No listed or cordoned endpoint has this id.
-            TooManyCordonsError: No more cordons can be kept track of.
+            TooManyCordonsError: The number of cordons has reached its limit.
             NotRecordedError: The record for a successor process could not be written.
         """
         cordons = self._cordons
-        self._change(cordons, lambda now: cordons.cordon(now, endpoint_id))
+        self._apply_change(cordons, lambda now: cordons.cordon(now, endpoint_id))
 
     def uncordon(self, endpoint_id: str) -> None:
         """Ends a cordon.
@@ -135,7 +135,7 @@
             NotRecordedError: The record for a successor process could not be written.
         """
         cordons = self._cordons
-        self._change(cordons, lambda now: cordons.uncordon(now, endpoint_id))
+        self._apply_change(cordons, lambda now: cordons.uncordon(now, endpoint_id))
 
     @property
     def _cordons(self) -> Cordons:
@@ -144,8 +144,8 @@
             raise RequestRejectedError(503, NOT_STARTED)
         return cordons
 
-    def _change(self, cordons: Cordons, change: Callable[[float], EndpointUpdate]) -> None:
-        """Changes cordons, then records them for a successor; undoes the change if that fails."""
+    def _apply_change(self, cordons: Cordons, change: Callable[[float], EndpointUpdate]) -> None:
+        """Changes cordons and records them for a successor process; undoes the change if that fails."""
         daemon = self._daemon
         before = dict(cordons.records)
         update = change(now_ms())
@@ -165,7 +165,7 @@
     # --- leases ---
 
     def leases(self) -> LeasesResponse:
-        """Returns the leases of the tier as far as this dispatcher knows them.
+        """Returns the leases of the tier that this dispatcher knows.
 
         Raises:
             RequestRejectedError: No leases are configured.
@@ -184,22 +184,22 @@
         )
 
     def request_restart(self) -> RestartPermitResponse:
-        """Asks for a restart permit, and shuts the process down as SIGTERM would once there is one.
+        """Requests a restart permit; if it is granted, shuts the process down as SIGTERM does.
 
         Raises:
-            RequestRejectedError: There is no permit yet, or permits are not configured.
+            RequestRejectedError: The permit is not granted yet, or permits are not configured.
         """
         service = self._lease_service
         if service.restart_permits is None:
             raise RequestRejectedError(404, PERMITS_NOT_CONFIGURED)
-        obstacle = service.request_restart_permit()
-        if obstacle is not None:
-            raise RequestRejectedError(503, obstacle, [("Retry-After", "1")])
+        denial_reason = service.request_restart_permit()
+        if denial_reason is not None:
+            raise RequestRejectedError(503, denial_reason, [("Retry-After", "1")])
         self._daemon.stop.set()
         return RestartPermitResponse()
 
     def resign(self, lease_name: str) -> ResignResponse:
-        """Gives up a lease.
+        """Releases a lease.
 
         Raises:
             RequestRejectedError: The lease is not held here, or no leases are configured.
--- a/violetstack/net/background_writer.py
+++ b/violetstack/net/background_writer.py
@@ -1,4 +1,4 @@
-"""Writes state records in the background, in groups and on a thread, so that no disk delays a request."""
+"""Writes state records in groups and on a thread, so that a slow disk does not delay requests."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from violetstack.state.snapshot import StateSnapshot
 from violetstack.state.store import Directory, RecoveredState, SnapshotStore, recover
 
-COMMIT_INTERVAL_S = 1.0  # records of this time are written together, with one sync
-RECOVERY_TIMEOUT_S = 1.0  # a start does not wait longer for the disk
+COMMIT_INTERVAL_S = 1.0  # records of one interval are written together, with one sync
+RECOVERY_TIMEOUT_S = 1.0  # the longest time that a start waits for the disk
 FIRST_RETRY_S = 1.0
 MAX_RETRY_S = 60.0
-MAX_PENDING_BYTES = 8 * 1024 * 1024  # beyond it the pending records are replaced by a snapshot
+MAX_PENDING_BYTES = 8 * 1024 * 1024  # more pending records are replaced by a snapshot
 MAX_PROBLEMS_LOGGED = 20
 
 
 class BackgroundWriter:
-    """Group commit: a record is on disk about `COMMIT_INTERVAL_S` after it was appended.
+    """Group commit: writes a record to disk about `COMMIT_INTERVAL_S` after it was appended.
 
     Attributes:
-        snapshot: The current state. Callers change it, and append the record of the change.
+        snapshot: The current state. Callers change it and append a record of each change.
     """
 
     def __init__(self, directory: Directory, rng: Random) -> None:
-        """Creates a writer with an empty state; `rng` spreads the commits of several processes."""
+        """Creates a writer with an empty state; `rng` spreads the commits of several processes over time."""
         self.snapshot = StateSnapshot()
         self._directory = directory
         self._rng = rng
         self._pending: list[bytes] = []
-        self._store: SnapshotStore | None = None  # None: read from the directory at the next write
+        self._store: SnapshotStore | None = None  # None: created from the directory at the next write
         self._lock = trio.Lock()
         self._failures = 0
 
     async def recover(self) -> None:
-        """Reads the state of an earlier process; keeps an empty one if the disk fails or is too slow."""
+        """Reads the state of an earlier process; the state stays empty if the disk fails or is too slow."""
         recovered: RecoveredState | None = None
         try:
             with trio.move_on_after(RECOVERY_TIMEOUT_S):
@@ -51,12 +51,12 @@
         self._store = SnapshotStore(self._directory, recovered)
 
     def append(self, record: bytes) -> None:
-        """Queues an encoded record of a change that `snapshot` already has."""
+        """Queues an encoded record of a change that `snapshot` already includes."""
         if sum(map(len, self._pending)) + len(record) <= MAX_PENDING_BYTES:
             self._pending.append(record)
         else:
             self._pending = []
-            self._store = None  # a new store begins with a snapshot, which has the dropped changes
+            self._store = None  # the next write is a snapshot, which includes the dropped changes
 
     async def run(self) -> None:
         """Writes pending records until cancelled; after a failure, retries with exponential backoff."""
@@ -69,7 +69,7 @@
                 await self.flush()
                 self._failures = 0
                 interval_s = COMMIT_INTERVAL_S
-            except Exception as error:  # no failure of the disk may end the daemon
+            except Exception as error:  # a failure of the disk must not end the daemon
                 self._failures += 1
                 interval_s = min(MAX_RETRY_S, FIRST_RETRY_S * 2.0**self._failures)
                 log_rate_limited(
@@ -80,7 +80,7 @@
         """Writes all pending records.
 
         Raises:
-            OSError: If they could not be written. They stay pending, and the next write is a snapshot.
+            OSError: They could not be written. They stay pending, and the next write is a snapshot.
         """
         async with self._lock:
             records = b"".join(self._pending)
@@ -94,7 +94,7 @@
                 raise
 
     async def _write(self, records: bytes) -> None:
-        """Writes on a thread, which is left behind where this is cancelled, at the end of the process."""
+        """Writes on a thread; a cancellation, as at the end of the process, does not wait for the thread."""
         store = self._store
         if store is None:
             recovered = await trio.to_thread.run_sync(recover, self._directory, abandon_on_cancel=True)
--- a/violetstack/net/clock.py
+++ b/violetstack/net/clock.py
@@ -8,8 +8,9 @@
 
 
 def now_ms() -> float:
-    """Unix time as of the start of the process, continued monotonically.
+    """Returns the Unix time at the start of the process plus the monotonic time since then.
 
-    Hosts report their start as Unix time; a step of the system clock must not reach the timers.
+    Unix time is needed because hosts report their start in it; steps of the system clock must not affect
+    timers.
     """
     return _OFFSET_MS + time.monotonic() * 1000.0
--- a/violetstack/net/endpoint_cache.py
+++ b/violetstack/net/endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The endpoints that a start uses until service discovery sends its list."""
+"""The endpoints that a starting dispatcher uses until service discovery sends its list."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from violetstack.recovery.cached_endpoints import CachedEndpoint, CacheStatus, EndpointSource, merge_sources
 from violetstack.state.snapshot import StateSnapshot
 
-VERIFY_INTERVAL_S = 0.1  # between connection attempts, so that the endpoints see no burst
+VERIFY_INTERVAL_S = 0.1  # between connection attempts, to avoid a burst
 VERIFY_TIMEOUT_S = 0.5
 MAX_REASONS_LOGGED = 10
 
 
 class EndpointCache:
-    """Chooses cached endpoints, and checks those that may be gone."""
+    """Selects usable cached endpoints, and checks those that may no longer exist."""
 
     def __init__(self, *, warm_up_ms: float, max_age_ms: float, rng: Random) -> None:
         """Creates an empty cache.
 
         Args:
             warm_up_ms: How long an endpoint warms up after its start.
-            max_age_ms: The age from which a stored list is not used any more.
-            rng: Spreads the connection attempts of several processes.
+            max_age_ms: Stored lists of at least this age are not used.
+            rng: Spreads the connection attempts of several processes over time.
         """
         self._warm_up_ms = warm_up_ms
         self._max_age_ms = max_age_ms
@@ -51,13 +51,13 @@
     async def verify(
         self, remove: Callable[[ListedEndpoint], None], list_received: Callable[[], bool]
     ) -> None:
-        """Connects to each stale endpoint in turn and removes those that cannot be reached.
+        """Connects to each stale endpoint in turn and removes the unreachable ones.
 
-        An endpoint whose address is invalid counts as one that cannot be reached.
+        An endpoint with an invalid address counts as unreachable.
 
         Args:
-            remove: Called with an endpoint that cannot be reached.
-            list_received: Whether service discovery has sent its list, which makes further checks needless.
+            remove: Called with an unreachable endpoint.
+            list_received: Whether service discovery has sent its list, which ends the checks.
         """
         reachable = 0
         for server in self._stale:
@@ -81,15 +81,15 @@
 
 
 async def _connect_once(address: str) -> None:
-    """Connects and closes the connection again.
+    """Connects to an address, then closes the connection.
 
     Raises:
         ConfigError: The address is invalid.
-        OSError: It refuses connections.
-        trio.TooSlowError: It does not answer in time.
+        OSError: The connection was refused or failed.
+        trio.TooSlowError: The connection was not established within VERIFY_TIMEOUT_S.
     """
     if not is_valid_address(address):
-        raise ConfigError(f"{address!r} is no address of a host")
+        raise ConfigError(f"{address!r} is not a valid host address")
     with trio.fail_after(VERIFY_TIMEOUT_S):
         stream = await trio.open_tcp_stream(*parse_address(address))
     await stream.aclose()
--- a/violetstack/net/gossip.py
+++ b/violetstack/net/gossip.py
@@ -1,4 +1,4 @@
-"""UDP transport of the datagrams between the dispatchers of a tier."""
+"""Sends and receives the UDP datagrams between the dispatchers of a tier."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
     """Called with each datagram of a peer."""
 
     def __call__(self, peer: int, payload: bytes, /) -> None:
-        """Handles a datagram from the peer of that number."""
+        """Handles a datagram from the peer with this number."""
 
 
 class LeaseDatagramHandler(Protocol):
-    """The lease service's part of the shared socket."""
+    """Called with each datagram of a peer, to handle those about leases."""
 
     def __call__(self, peer: int, payload: bytes, /) -> bool:
-        """Handles a lease datagram; returns whether it was one."""
+        """Handles the datagram if it is about leases; returns whether it is."""
 
 
 class GossipSink(Protocol):
-    """The part of the core that takes load gossip."""
+    """The part of the core that receives load gossip."""
 
     def gossip_received(self, message: GossipReceived) -> None:
-        """Queues a datagram as an event of the policy."""
+        """Queues a datagram as an event for the policy."""
 
 
 class GossipTransport:
-    """One UDP socket to all peers.
+    """Exchanges datagrams with all peers over one UDP socket.
 
     The sender's address identifies the peer; datagrams from any other address are dropped. Sending never
-    waits: a datagram that cannot leave at once is lost, as it may be in the network.
+    waits: a datagram that cannot be sent at once is dropped, as it might be in the network.
 
     Attributes:
         bound: Whether the socket is bound.
@@ -62,11 +62,11 @@
         """Configures the transport; `run` opens the socket.
 
         Args:
-            address: Where to bind.
-            peers: The addresses of all dispatchers of the tier by number, this one's included.
-            broadcast_address: Delivers one datagram to all peers; without it each peer is sent a copy.
-            reuse_address: For a hot restart, in which the successor binds the same address beside its
-                predecessor and receives everything from then on. Both processes have to set it.
+            address: The address to bind.
+            peers: The addresses of all dispatchers of the tier, including this one, by number.
+            broadcast_address: Delivers one datagram to all peers; without it, each peer is sent a copy.
+            reuse_address: Allows a hot restart, in which the successor binds the same address while its
+                predecessor runs, and receives all datagrams from then on. Both processes have to set it.
         """
         self.bound = False
         self._address = address
@@ -95,7 +95,7 @@
                 self.broadcast(payload)
             self._unsent = []
             while True:
-                # Linux reports that a peer's port is closed as an error of the next receive.
+                # If a peer's port is closed, Linux reports an error on the next receive.
                 with contextlib.suppress(OSError):
                     await self._read_batch(trio_socket, handle)
 
@@ -107,8 +107,8 @@
     def broadcast(self, payload: bytes) -> None:
         """Sends a datagram to all peers.
 
-        The first few before the socket is bound are sent once it is: a reset sent at startup ends what the
-        peers still count as this dispatcher's load from before.
+        Up to MAX_UNSENT_DATAGRAMS are kept until the socket is bound, because a reset datagram sent at
+        startup clears the load of this dispatcher's previous process from the counts of its peers.
         """
         if not self.bound:
             self._unsent = [*self._unsent, payload][:MAX_UNSENT_DATAGRAMS]
@@ -117,11 +117,11 @@
             self._send_to(payload, peer)
 
     def send(self, peer: int, payload: bytes) -> None:
-        """Sends a datagram to the peer of that number."""
+        """Sends a datagram to the peer with this number."""
         self._send_to(payload, self._peers[peer])
 
     async def _bind(self, trio_socket: trio.socket.SocketType) -> None:
-        """Binds, trying again for as long as the address is taken: requests are served without gossip."""
+        """Binds the socket, retrying until it succeeds; requests are served without gossip meanwhile."""
         while True:
             try:
                 await trio_socket.bind(self._address)
@@ -132,21 +132,21 @@
                 return
 
     async def _read_batch(self, trio_socket: trio.socket.SocketType, handle: DatagramHandler) -> None:
-        """Waits for a datagram, then reads what else has arrived, up to `READ_BATCH` more."""
-        self._received(*await trio_socket.recvfrom(MAX_DATAGRAM_BYTES + 1), handle)
+        """Waits for a datagram, then reads up to `READ_BATCH` more that have arrived."""
+        self._dispatch(*await trio_socket.recvfrom(MAX_DATAGRAM_BYTES + 1), handle)
         for _ in range(READ_BATCH):
             if not is_readable(trio_socket, if_unknown=False):
                 return
-            self._received(*await trio_socket.recvfrom(MAX_DATAGRAM_BYTES + 1), handle)
+            self._dispatch(*await trio_socket.recvfrom(MAX_DATAGRAM_BYTES + 1), handle)
 
-    def _received(self, payload: bytes, sender: Address, handle: DatagramHandler) -> None:
+    def _dispatch(self, payload: bytes, sender: Address, handle: DatagramHandler) -> None:
         if sender == self._address:
             return  # this dispatcher's own broadcast
         peer = self._peer_numbers.get(sender)
         if peer is not None and len(payload) <= MAX_DATAGRAM_BYTES:
             handle(peer, payload)
             return
-        reason = "no peer of this tier" if peer is None else "too long"
+        reason = "sender is not a peer of this tier" if peer is None else "datagram is too long"
         log_rate_limited("gossip_datagram_rejected", sender=format_address(sender), reason=reason)
 
     def _send_to(self, payload: bytes, address: Address) -> None:
@@ -156,7 +156,7 @@
 
 
 class DatagramDemultiplexer:
-    """Hands the datagrams of peers to the lease service or, as load gossip, to the core."""
+    """Passes the datagrams of peers to the lease service or, as load gossip, to the core."""
 
     def __init__(
         self,
@@ -165,13 +165,13 @@
         discard: Callable[[], bool] = lambda: False,
         handle_lease: LeaseDatagramHandler | None = None,
     ) -> None:
-        """Takes the receivers.
+        """Creates a demultiplexer for these receivers.
 
         Args:
-            core: Takes load gossip.
-            discard: Whether datagrams are dropped now. After a pause of the process, those that queued up
-                meanwhile describe a past state, and some of them were lost.
-            handle_lease: Takes lease datagrams; None without leases.
+            core: Receives load gossip.
+            discard: Whether to drop datagrams now. Datagrams that queued up during a pause of the process
+                describe a past state, and some of them were lost.
+            handle_lease: Receives lease datagrams; None without leases.
         """
         self._core = core
         self._discard = discard
--- a/violetstack/net/handover.py
+++ b/violetstack/net/handover.py
@@ -1,4 +1,4 @@
-"""Keeps this process's handover record up to date and applies what the records of the others say."""
+"""Keeps this process's handover record up to date and applies the records of the other processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,9 @@
 from violetstack.net.handover_directory import HandoverDirectory
 from violetstack.policy_api import EndpointUpdate
 
-SCAN_INTERVAL_S = 0.1  # a cordon set at another process takes effect here well within the drain grace period
+SCAN_INTERVAL_S = (
+    0.1  # so that a cordon set in another process takes effect well within the drain grace period
+)
 WRITE_INTERVAL_S = 0.5
 
 
@@ -23,7 +25,7 @@
     """Exchanges records with the other processes of this dispatcher.
 
     Attributes:
-        siblings: The other processes, by the records last read.
+        siblings: The other processes, according to the records read last.
     """
 
     def __init__(
@@ -31,28 +33,28 @@
         directory: HandoverDirectory,
         siblings: SiblingProcesses,
         cordons: Cordons,
-        compose: Callable[[], HandoverRecord],
+        create_record: Callable[[], HandoverRecord],
         *,
         on_cordons_changed: Callable[[EndpointUpdate], None],
         on_siblings_changed: Callable[[], None],
         hot_restart: bool,
     ) -> None:
-        """Creates a service that has not read any record.
+        """Creates a service that has not read any records.
 
         Args:
-            directory: Where the records are.
-            siblings: Takes the records of the other processes.
-            cordons: The hosts that operators took out of rotation; merged with those of the other processes.
-            compose: Returns this process's record.
-            on_cordons_changed: Called with the endpoint update that follows from another process's cordons.
-            on_siblings_changed: Called when the first other process appears, and when the last has gone.
-            hot_restart: Whether another process can run beside this one, that is, whether the listener is
-                inherited. Without it the records of others are read once, by `load_predecessor`.
+            directory: The directory of the records.
+            siblings: Receives the records of the other processes.
+            cordons: The hosts that operators have cordoned; merged with the cordons of the other processes.
+            create_record: Returns the current record of this process.
+            on_cordons_changed: Called with the endpoint update that results from cordons of other processes.
+            on_siblings_changed: Called when the first other process appears, and when the last one has ended.
+            hot_restart: Whether another process can run at the same time, that is, whether the listener is
+                inherited. If not, the records of other processes are read only once, by `load_predecessor`.
         """
         self.siblings = siblings
         self._directory = directory
         self._cordons = cordons
-        self._compose = compose
+        self._create_record = create_record
         self._on_cordons_changed = on_cordons_changed
         self._on_siblings_changed = on_siblings_changed
         self._hot_restart = hot_restart
@@ -76,7 +78,7 @@
         return record
 
     def request_write(self) -> None:
-        """Has `run` write the record at its next turn."""
+        """Makes `run` write the record in its next iteration."""
         self._write_requested = True
 
     def write_record(self) -> None:
@@ -86,7 +88,7 @@
             NotRecordedError: The record cannot be written.
         """
         try:
-            self._directory.write(self._compose())
+            self._directory.write(self._create_record())
             self._write_requested = False
         except OSError as error:
             log("handover_record_failed", error=str(error))
@@ -94,11 +96,11 @@
 
     @property
     def successor(self) -> HandoverRecord | None:
-        """The process that accepts clients in this one's place, by the records last read."""
+        """The process that accepts clients instead of this one, according to the records read last."""
         return self.siblings.successor(now_ms())
 
     def remove_record(self) -> None:
-        """Deletes the record if a successor has read it; without one it is left for the next process."""
+        """Deletes the record if there is a successor; otherwise it stays for the next process."""
         if self.successor is not None:
             self._directory.remove()
 
@@ -111,18 +113,18 @@
                 if self._hot_restart:
                     self.refresh()
                 due = trio.current_time() >= written_at + WRITE_INTERVAL_S
-                # The periodic write shows the others that this process is alive, and holds its estimates.
+                # The periodic write tells other processes that this one is alive and passes on its estimates.
                 if self._write_requested or (due and self._hot_restart):
                     self.write_record()
                 if due:
                     written_at = trio.current_time()
             except NotRecordedError:
                 await trio.sleep(WRITE_INTERVAL_S)
-            except Exception as error:  # an unforeseen failure here must not end the service
+            except Exception as error:  # an unexpected error must not end the service
                 log_rate_limited("handover_record_failed", error=repr(error))
 
     def refresh(self) -> None:
-        """Reads the records that changed and applies them."""
+        """Reads the changed records and applies them."""
         now = now_ms()
         self._read_records(now)
         update = self._cordons.merge(self.siblings.latest_cordons())
--- a/violetstack/net/handover_directory.py
+++ b/violetstack/net/handover_directory.py
@@ -19,16 +19,15 @@
 PARTIAL_SUFFIX = ".part"
 UNSAFE_IN_FILE_NAME = re.compile(r"[^A-Za-z0-9._-]")
 NS_PER_MS = 1_000_000.0
-MAX_RECORD_AGE_MS = 3_600_000.0  # older records are deleted: their processes have died
+MAX_RECORD_AGE_MS = 3_600_000.0  # older records are deleted because their processes have ended
 
 
 class DirectoryScan(msgspec.Struct):
-    """What a scan of the directory found.
+    """Result of a scan of the directory.
 
     Attributes:
         changed: The valid records that were written since the previous scan.
-        last_seen_ms: By process id, when each other process was last seen to have written its record, on the
-            clock of the scan.
+        last_seen_ms: When each other process, by its id, last wrote its record, on the clock of the scan.
     """
 
     changed: list[HandoverRecord]
@@ -40,41 +39,41 @@
     modified_ns: int
 
 
-class _Written(NamedTuple):
-    """A version of a record, and when it was written, on the clock of the scans."""
+class _WrittenVersion(NamedTuple):
+    """A version of a record file, and when it was written on the clock of the scans."""
 
     version: _FileVersion
-    at_ms: float
+    written_at_ms: float
 
 
 class HandoverDirectory:
-    """Reads the records of the other processes and writes this one's.
+    """Reads the records of the other processes and writes the record of this one.
 
-    Each process writes a file of its own, replaced atomically, so a reader never sees a partial record.
-    Nothing is flushed to the disk: the page cache outlives the process, and the directory need not outlive
-    the machine.
+    Each process writes a file of its own and replaces it atomically, so that readers never see a partial
+    record. Files are not flushed to disk: the page cache outlives the process, and records need not survive a
+    restart of the machine.
     """
 
     def __init__(
-        self, path: str, dispatcher: str, process_id: str, wall_s: Callable[[], float] = time.time
+        self, path: str, dispatcher: str, process_id: str, wall_clock_s: Callable[[], float] = time.time
     ) -> None:
         """Creates a directory that has not been scanned.
 
         Args:
             path: The directory; it must exist.
-            dispatcher: Name of the dispatcher, which all its processes share.
+            dispatcher: Name of the dispatcher, the same for all of its processes.
             process_id: Random name of this process.
-            wall_s: The clock that dates files, in Unix seconds. It counts only for a file's age when the file
-                is first seen; from then on the scans' own clock does.
+            wall_clock_s: The clock of file modification times, in Unix seconds. It only determines the age
+                of a file that is seen for the first time; from then on the clock of the scans is used.
         """
-        self._wall_s = wall_s
-        self._written: dict[Path, _Written] = {}
+        self._wall_clock_s = wall_clock_s
+        self._written_versions: dict[Path, _WrittenVersion] = {}
         file_name = UNSAFE_IN_FILE_NAME.sub("_", dispatcher) or "_"
         self._path = Path(path)
         self._dispatcher = dispatcher
         self._prefix = f"violetstack-{file_name}-"
         self._own_path = self._path / f"{self._prefix}{process_id}{RECORD_SUFFIX}"
-        self._read_versions: dict[Path, _FileVersion] = {}  # of the files that were accepted or rejected
+        self._read_versions: dict[Path, _FileVersion] = {}  # versions that were read, valid or not
 
     def write(self, record: HandoverRecord) -> None:
         """Replaces this process's record.
@@ -98,7 +97,7 @@
     def scan(self, now_ms: float) -> DirectoryScan:
         """Reads the records that changed since the last call, and deletes those older than MAX_RECORD_AGE_MS.
 
-        A record that cannot be read is logged once for each of its versions.
+        An invalid record is logged once for each version of its file.
         """
         scan = DirectoryScan([], {})
         try:
@@ -107,7 +106,9 @@
             log_rate_limited("handover_record_failed", error=str(error))
             return scan
         listed = {Path(entry.path) for entry in entries}
-        self._written = {path: written for path, written in self._written.items() if path in listed}
+        self._written_versions = {
+            path: written for path, written in self._written_versions.items() if path in listed
+        }
         for entry in entries:
             if Path(entry.path) != self._own_path:
                 self._scan_entry(entry, now_ms, scan)
@@ -133,20 +134,20 @@
             log_rate_limited("handover_record_invalid", file=entry.name, reason=str(error))
 
     def _written_at_ms(self, path: Path, version: _FileVersion, now_ms: float) -> float:
-        """When this version was written, on the scans' clock, which the wall clock's steps do not reach."""
-        known = self._written.get(path)
-        if known is None:
-            age_ms = max(0.0, self._wall_s() * 1000.0 - version.modified_ns / NS_PER_MS)
-            known = _Written(version, now_ms - age_ms)
-        elif known.version != version:
-            known = _Written(version, now_ms)
-        self._written[path] = known
-        return known.at_ms
+        """Returns when this version was written, on the clock of the scans, which has no steps."""
+        written = self._written_versions.get(path)
+        if written is None:
+            age_ms = max(0.0, self._wall_clock_s() * 1000.0 - version.modified_ns / NS_PER_MS)
+            written = _WrittenVersion(version, now_ms - age_ms)
+        elif written.version != version:
+            written = _WrittenVersion(version, now_ms)
+        self._written_versions[path] = written
+        return written.written_at_ms
 
     def _read(self, path: Path, size: int, now_ms: float) -> HandoverRecord:
         """Raises InvalidRecordError or OSError."""
         if size > MAX_RECORD_BYTES:
-            raise InvalidRecordError(f"{size} bytes, more than {MAX_RECORD_BYTES}")
+            raise InvalidRecordError(f"record of {size} bytes exceeds the limit of {MAX_RECORD_BYTES}")
         return decode_record(path.read_bytes(), self._dispatcher, now_ms)
 
     def _is_record(self, file_name: str) -> bool:
--- a/violetstack/net/inherited_listener.py
+++ b/violetstack/net/inherited_listener.py
@@ -1,4 +1,4 @@
-"""The client listener of a process whose parent has bound it already (``NODE_INHERITED_FD``)."""
+"""Opens the client listener that a process inherits from its parent (``NODE_INHERITED_FD``)."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
     Args:
         descriptor: Number of the inherited file descriptor.
-        expected: The address in `listen`; a wildcard address with the same port is accepted as well.
+        expected: The address in `listen`; a wildcard address with the same port is also accepted.
 
     Raises:
-        ConfigError: The descriptor is no listening TCP socket, or listens on another address.
+        ConfigError: The descriptor is not a listening TCP socket, or listens on another address.
     """
     setting = f"NODE_INHERITED_FD={descriptor}"
     try:
@@ -30,7 +30,7 @@
         _check_listener(listener, expected, setting)
         listener.set_inheritable(False)
     except ConfigError:
-        listener.detach()  # the descriptor stays as it was
+        listener.detach()  # leaves the descriptor open
         raise
     return listener
 
@@ -43,5 +43,5 @@
     host, port = listener.getsockname()[:2]
     if port != expected[1] or host not in (expected[0], *WILDCARD_ADDRESSES):
         raise ConfigError(
-            f"{setting}: it listens on {host}:{port}, and `listen` is {expected[0]}:{expected[1]}"
+            f"{setting}: it listens on {host}:{port}, but `listen` is {expected[0]}:{expected[1]}"
         )
--- a/violetstack/net/level_journal.py
+++ b/violetstack/net/level_journal.py
@@ -1,4 +1,4 @@
-"""The file of the journal of levels. All methods block and are called from a worker thread or at startup."""
+"""The file of the level journal. All methods block; they are called from a worker thread or at startup."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class LevelJournalFile:
-    """A journal that is appended to, and rewritten with its last records when it has grown."""
+    """An append-only journal that is rewritten with its latest records once it exceeds MAX_BYTES."""
 
     def __init__(self, path: str) -> None:
-        """Takes the path, which need not exist."""
+        """Uses the file at `path`, which need not exist."""
         self._path = Path(path)
 
     def read(self) -> Journal:
-        """Reads the journal; one that does not exist is empty.
+        """Reads the journal; a missing file is an empty journal.
 
         Raises:
-            OSError: It cannot be read.
+            OSError: The file cannot be read.
         """
         try:
             return decode_journal(self._path.read_bytes())
@@ -35,10 +35,10 @@
             return Journal(())
 
     def set_aside(self) -> Path:
-        """Renames a journal that cannot be used, for an operator to look at, and returns its new path.
+        """Renames an unusable journal, so that an operator can inspect it, and returns its new path.
 
         Raises:
-            OSError: It cannot be renamed.
+            OSError: The file cannot be renamed.
         """
         aside = self._path.with_name(f"{self._path.name}.aside")
         self._path.replace(aside)
@@ -48,12 +48,12 @@
         """Appends records and waits until they are on disk.
 
         Raises:
-            OSError: They cannot be written.
+            OSError: The records cannot be written.
         """
         data = b"".join(encode_record(record) for record in records)
         with self._path.open("ab") as file:
             if file.tell() and not self._ends_with_newline():
-                data = b"\n" + data  # keeps a truncated line from spoiling the first record
+                data = b"\n" + data  # ends a truncated line, which would otherwise corrupt the first record
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
--- a/violetstack/net/level_socket.py
+++ b/violetstack/net/level_socket.py
@@ -1,4 +1,4 @@
-"""The Unix socket of `violetstack level`: one JSON object a line each way."""
+"""The Unix socket of `violetstack level`: a request and a reply, each a JSON object on one line."""
 
 from __future__ import annotations
 
@@ -27,43 +27,43 @@
 
 
 class LevelOperations(Protocol):
-    """What can be asked over the socket."""
+    """The operations available over the socket."""
 
     def status(self) -> LevelStatus:
-        """Returns the level in force and what would change it."""
+        """Returns the current level and the conditions that would change it."""
 
     def recent_changes(self, limit: int) -> list[JournalRecord] | None:
-        """Returns the last changes, newest first; None without a journal.
+        """Returns the latest changes, newest first; None without a journal.
 
         Raises:
             OSError: The journal cannot be read.
         """
 
     def pin(self, level: str, duration_ms: float, by: str) -> None:
-        """Keeps a level in force for a time.
+        """Pins a level for `duration_ms`.
 
         Raises:
             UnknownLevelError: There is no such level.
         """
 
     def unpin(self) -> None:
-        """Lets the signals decide again."""
+        """Ends the pin, so that the signals determine the level again."""
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """A request that could not be carried out."""
+    """Reply to a request that failed."""
 
     error: str
 
 
 class HistoryReply(msgspec.Struct, frozen=True):
-    """The last changes of level, newest first."""
+    """The latest changes of the level, newest first."""
 
     changes: list[JournalRecord]
 
 
 class PinRequest(msgspec.Struct, frozen=True):
-    """Arguments of `pin`; each is checked when it is carried out."""
+    """Arguments of `pin`, validated by its handler."""
 
     level: object = None
     duration_ms: object = msgspec.field(name="for_ms", default=None)
@@ -74,10 +74,10 @@
 
 
 class LevelSocket:
-    """Serves `violetstack level`; only the owner of the process may connect."""
+    """Serves `violetstack level`; only the user of the process may connect."""
 
     def __init__(self, operations: LevelOperations) -> None:
-        """Takes the operations that requests are carried out on."""
+        """Creates a socket that offers these operations."""
         self._operations = operations
         self._handlers: dict[str, Callable[[dict[str, object]], Reply]] = {
             "show": self._show,
@@ -87,7 +87,7 @@
         }
 
     async def serve(self, path: str, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serves until cancelled, then removes the socket; started once clients can connect.
+        """Serves until cancelled, then removes the socket; reports as started once clients can connect.
 
         Raises:
             OSError: The path cannot be bound.
@@ -106,12 +106,12 @@
                 async with trio.open_nursery() as nursery:
                     while True:
                         connection, _ = await listener.accept()
-                        nursery.start_soon(self._serve_one, trio.SocketStream(connection), limiter)
+                        nursery.start_soon(self._serve_connection, trio.SocketStream(connection), limiter)
             finally:
                 _remove(path)
 
     def reply_to(self, data: bytes) -> Reply:
-        """Carries out one request and returns the reply."""
+        """Executes a request and returns the reply."""
         try:
             request = json.loads(data)
             handler = self._handlers[request["do"]]
@@ -119,7 +119,7 @@
             return ErrorReply("ask one of show, history, pin, unpin")
         return handler(request)
 
-    async def _serve_one(self, stream: trio.SocketStream, limiter: trio.CapacityLimiter) -> None:
+    async def _serve_connection(self, stream: trio.SocketStream, limiter: trio.CapacityLimiter) -> None:
         async with limiter, stream:
             try:
                 with trio.fail_after(REQUEST_TIMEOUT_S):
--- a/violetstack/net/load_shedding.py
+++ b/violetstack/net/load_shedding.py
@@ -1,4 +1,4 @@
-"""Drives load shedding: restores the level at startup, samples gauges, ticks, and writes the journal."""
+"""Drives load shedding: restores the level at startup, samples the gauges and writes the journal."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 
 
 class ProcessorTime(NamedTuple):
-    """Processor time of the process at a time of the event loop's clock, both in seconds."""
+    """Processor time used by the process at a time of the event loop's clock, both in seconds."""
 
     used_s: float
     at_s: float
 
 
 class LoadSheddingService:
-    """The load shedder of a daemon, with its timer, its journal and its socket.
+    """The load shedder of a daemon, with its timer, journal and socket.
 
     Attributes:
-        load_shedder: Decides which level is in force, and who is served under it.
+        load_shedder: Determines the current level and which requests are served at it.
     """
 
     def __init__(
@@ -56,14 +56,14 @@
         listeners: Sequence[Listener],
         cores: float,
     ) -> None:
-        """Configures the service; `start`, then `run`.
+        """Creates the service; call `start`, then `run`.
 
         Args:
-            load_shedder: Driven by this service.
-            core: Gives the endpoint list and the waiting requests.
-            router: Gives the headroom of the best hosts.
-            listeners: Give their utilization.
-            cores: Processor cores that the limits grant.
+            load_shedder: The load shedder to drive.
+            core: Provides the endpoint list and the waiting requests.
+            router: Provides the headroom of the best hosts.
+            listeners: Provide their utilization.
+            cores: Processor cores available to this process.
         """
         self.load_shedder = load_shedder
         self._core = core
@@ -75,7 +75,7 @@
         self._write_error_logged_s = -WRITE_ERROR_LOG_S
 
     def start(self) -> None:
-        """Restores the level of the journal, before anything is accepted."""
+        """Restores the level from the journal; called before requests are accepted."""
         wall_s = time.time()
         journal = Journal(()) if self._journal is None else self._read_journal(self._journal)
         names = self.load_shedder.state_machine.names
@@ -86,18 +86,18 @@
         self.load_shedder.start(now_ms(), wall_s, restored)
 
     def reload(self, plan: LevelPlan) -> None:
-        """Takes the levels of a new file."""
+        """Applies the levels of a reloaded operator's file."""
         self.load_shedder.reload(now_ms(), time.time(), plan)
 
     async def run(self) -> None:
-        """Ticks until cancelled."""
-        due_s = trio.current_time()
-        last = ProcessorTime(time.process_time(), due_s)
+        """Ticks every TICK_MS until cancelled."""
+        tick_due_s = trio.current_time()
+        last = ProcessorTime(time.process_time(), tick_due_s)
         while True:
-            due_s = max(due_s + TICK_MS / 1000.0, trio.current_time())
-            await trio.sleep_until(due_s)
+            tick_due_s = max(tick_due_s + TICK_MS / 1000.0, trio.current_time())
+            await trio.sleep_until(tick_due_s)
             sample = ProcessorTime(time.process_time(), trio.current_time())
-            self._tick((sample.at_s - due_s) * 1000.0, self._processor_share(last, sample))
+            self._tick((sample.at_s - tick_due_s) * 1000.0, self._processor_share(last, sample))
             last = sample
             records = self.load_shedder.take_records()
             if self._journal is not None and records:
@@ -111,14 +111,14 @@
         """
         await LevelSocket(self).serve(path)
 
-    # --- what the socket offers ---
+    # --- operations of the socket ---
 
     def status(self) -> LevelStatus:
-        """Returns the level in force and what would change it."""
+        """Returns the current level and the conditions that would change it."""
         return self.load_shedder.status(now_ms(), time.time())
 
     def recent_changes(self, limit: int) -> list[JournalRecord] | None:
-        """Returns the last changes, newest first; None without a journal.
+        """Returns the latest changes, newest first; None without a journal.
 
         Raises:
             OSError: The journal cannot be read.
@@ -126,7 +126,7 @@
         return None if self._journal is None else recent_changes(self._journal.read(), limit)
 
     def pin(self, level: str, duration_ms: float, by: str) -> None:
-        """Keeps a level in force for a time.
+        """Pins a level for `duration_ms`.
 
         Raises:
             UnknownLevelError: There is no such level.
@@ -134,18 +134,18 @@
         self.load_shedder.pin(now_ms(), time.time(), level, duration_ms, by)
 
     def unpin(self) -> None:
-        """Lets the signals decide again."""
+        """Ends the pin, so that the signals determine the level again."""
         self.load_shedder.unpin()
 
     # --- ticks ---
 
     def _tick(self, lag_ms: float, processor_share: float) -> None:
         now = now_ms()
-        free = headroom(self._router, now)
+        host_headroom = headroom(self._router, now)
         tables = [listener.table for listener in self._listeners]
         gauges = {
-            "reader_free": free.prefill,
-            "writer_free": free.decode,
+            "reader_free": host_headroom.prefill,
+            "writer_free": host_headroom.decode,
             "lag": lag_ms,
             "cpu": processor_share,
             "clients": _highest(table.connection_utilization for table in tables),
@@ -157,13 +157,15 @@
 
     def _endpoint_counts(self, now: float) -> EndpointCounts:
         slow_start_ms = self._core.settings.slow_start_ms
-        started = [
+        start_times = [
             endpoint.started_ms
             for endpoint in self._core.endpoints.values()
             if endpoint.server not in self._core.draining
         ]
-        in_slow_start = sum(1 for at in started if at is not None and now < at + slow_start_ms)
-        return EndpointCounts(len(started), in_slow_start)
+        in_slow_start = sum(
+            1 for started_ms in start_times if started_ms is not None and now < started_ms + slow_start_ms
+        )
+        return EndpointCounts(len(start_times), in_slow_start)
 
     def _processor_share(self, last: ProcessorTime, sample: ProcessorTime) -> float:
         interval_s = max(MIN_INTERVAL_S, sample.at_s - last.at_s)
@@ -187,7 +189,7 @@
             log("level_journal_corrupt", why=restored.reason, kept=str(aside))
 
     async def _write(self, file: LevelJournalFile, records: Sequence[JournalRecord]) -> None:
-        """Writes records on a thread; a full, slow or missing disk costs lines of the journal only."""
+        """Writes records on a thread; if the disk is full, slow or missing, only journal records are lost."""
         with trio.move_on_after(WRITE_TIMEOUT_S):
             try:
                 await trio.to_thread.run_sync(file.append, records, abandon_on_cancel=True)
--- a/violetstack/net/startup_recovery.py
+++ b/violetstack/net/startup_recovery.py
@@ -1,4 +1,4 @@
-"""Drives a start: the endpoints and estimates to begin with, its phases, and Retry-After times."""
+"""Drives the startup: initial endpoints and estimates, startup phases, and Retry-After times."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     from violetstack.net.state_writer import StateWriter
     from violetstack.policy_api import Settings
 
-# A sixth of the time constant of the estimator of endpoint load (12 * LEARNING_WINDOW_MS): from then on
+# A sixth of the time constant of the endpoint load estimator (12 * LEARNING_WINDOW_MS): after that time its
 # observations outweigh its prior.
 WARM_UP_MS = 2.0 * LEARNING_WINDOW_MS
-TIMER_SLACK_S = 0.001  # so that a timer does not fire just before the time that it was set for
+TIMER_SLACK_S = 0.001  # so that a timer does not fire slightly too early
 
 
 class StartupRecovery:
-    """One start of the daemon, with stored state where there is any."""
+    """One start of the daemon, with stored state if there is any."""
 
     def __init__(self, nursery: trio.Nursery, state_writer: StateWriter | None, settings: Settings) -> None:
         """Starts in the phase without endpoints."""
@@ -37,14 +37,14 @@
 
     @property
     def list_received(self) -> bool:
-        """Whether service discovery has sent a list that is not empty."""
+        """Whether service discovery has sent a non-empty list."""
         return self._phases.phase in (Phase.WARMING_UP, Phase.READY)
 
     def retry_after_ms(self, usual_ms: float) -> float:
-        """Returns when a rejected client should retry, in milliseconds.
+        """Returns after how many milliseconds a rejected client should retry.
 
-        Until a list was received, the time has jitter, so that clients that were all rejected at once do not
-        all return at once; without any endpoint it also covers the warm-up.
+        Until a list has been received, the time has jitter, so that clients that were rejected at the same
+        moment do not return at the same moment. Without any endpoint it also covers the warm-up.
         """
         if self.list_received or usual_ms <= 0.0:
             return usual_ms
@@ -62,23 +62,23 @@
         return endpoints
 
     def stored_learned_state(self) -> LearnedState | None:
-        """Returns the stored estimates of the previous process, if there are any that can be used."""
+        """Returns the stored estimates of the previous process, or None if there are no usable ones."""
         return self._state_writer.stored_learned_state() if self._state_writer is not None else None
 
     def learned_state_restored(self) -> None:
-        """Handles that the decision module works with the estimates of a previous process."""
+        """Records that the policy uses the estimates of a previous process."""
         self._log_change(self._phases.learned_state_restored())
 
     def list_changed(
         self, servers: tuple[ListedEndpoint, ...], version: int, *, complete: bool, listed: int
     ) -> None:
-        """Handles a message of service discovery.
+        """Records a message of service discovery.
 
         Args:
             servers: The endpoints in the message.
             version: The version of the list.
-            complete: Whether the message is a complete list, rather than changes.
-            listed: How many endpoints are listed now.
+            complete: Whether the message is a complete list; otherwise it contains changes.
+            listed: Number of endpoints in the list after the message.
         """
         change = self._phases.list_received(now_ms(), listed)
         self._log_change(change)
@@ -89,7 +89,7 @@
             self._state_writer.store_endpoints(servers, version, complete=complete)
 
     async def stop(self) -> None:
-        """Writes the state that is pending."""
+        """Writes pending state."""
         if self._state_writer is not None:
             await self._state_writer.stop()
 
--- a/violetstack/net/stream_migration.py
+++ b/violetstack/net/stream_migration.py
@@ -1,7 +1,7 @@
-"""Moves open streams from a process that shuts down to its successor, with both connections of each.
+"""Migrates open streams, with their two connections, from a process that shuts down to its successor.
 
-The sockets pass as ancillary data (SCM_RIGHTS) over a Unix socket in the shared directory. The messages and
-their order are in `violetstack.handover.stream_migration`.
+The sockets are passed as ancillary data (SCM_RIGHTS) over a Unix socket in the shared directory. See
+`violetstack.handover.stream_migration` for the messages and their order.
 """
 
 from __future__ import annotations
@@ -36,31 +36,31 @@
 from violetstack.net.upstream.connection import UpstreamConnection
 from violetstack.net.upstream.driver import UpstreamDriver
 
-REPLY_TIMEOUT_S = 1.0  # a successor that has not replied by then is taken for dead
+REPLY_TIMEOUT_S = 1.0  # a successor that takes longer to reply is assumed to have failed
 ACCEPT_RETRY_S = 0.1
 BACKLOG = 4
 SOCKETS_PER_STREAM = 2
 SOCKET_MODE = 0o600
 
-# One type of ancillary data as `recvmsg` returns it: level, type, data.
+# One item of ancillary data as returned by `recvmsg`: level, type, data.
 AncillaryData = tuple[int, int, bytes]
 
 
 class StreamSockets(NamedTuple):
-    """The two connections of a stream."""
+    """The sockets of a stream's two connections."""
 
     client: socket.socket
     host: socket.socket
 
 
 def socket_path(directory: str, process_id: str) -> Path:
-    """Where the process with this id receives streams."""
+    """Returns the path at which the process with this id receives streams."""
     return Path(directory) / f"violetstack-{process_id}.sock"
 
 
 @contextlib.contextmanager
 def _short_address(path: Path) -> Iterator[str]:
-    """An address for `path` that fits the 108 bytes of `sockaddr_un` however deep its directory is."""
+    """Yields an address for `path` that fits the 108 bytes of `sockaddr_un` at any directory depth."""
     directory = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{directory}/{path.name}"
@@ -69,14 +69,14 @@
 
 
 class StreamSender:
-    """The predecessor's side. After a failure it offers no more streams; they end in this process.
+    """The predecessor's side. After a failure it offers no more streams, which then end in this process.
 
     Attributes:
-        migrated: Number of streams that the successor took over.
+        migrated: Number of streams taken over by the successor.
     """
 
     def __init__(self, core: Dispatcher) -> None:
-        """Creates a sender that is not connected; `core` has the streams."""
+        """Creates a sender that is not connected, for the streams of `core`."""
         self.migrated = 0
         self._core = core
         self._sock: trio.socket.SocketType | None = None
@@ -101,10 +101,10 @@
         Args:
             attempt: An attempt whose response has started.
             connection: Its connection to the host.
-            cached_tokens: Prompt tokens that the host found in its cache.
+            cached_tokens: Number of prompt tokens that the host found in its cache.
 
         Returns:
-            Whether the successor took the stream over. If not, it continues in this process.
+            Whether the successor took over the stream. If not, the stream continues in this process.
         """
         sink = attempt.request.sink
         if self._sock is None or not isinstance(sink, PlatformSink) or not connection.http.between_chunks:
@@ -125,7 +125,7 @@
     ) -> bool:
         client_descriptor = client.descriptor
         if client_descriptor is None or not self._core.can_migrate(attempt):
-            return False  # one of the two connections closed while the client was paused
+            return False  # one of the two connections was closed while the client was paused
         request = attempt.request
         offer = StreamOffer(
             id=request.policy_request.id,
@@ -148,7 +148,7 @@
         return committed
 
     async def _offer(self, offer: StreamOffer, *descriptors: int) -> bool:
-        """Returns whether the successor committed to the stream; after a failure no other is offered."""
+        """Offers a stream; returns whether it was committed. After a failure no other stream is offered."""
         sock = self._sock
         if sock is None:
             return False
@@ -163,7 +163,7 @@
     async def _exchange_messages(
         self, sock: trio.socket.SocketType, offer: StreamOffer, descriptors: tuple[int, ...]
     ) -> bool:
-        """Returns False if the successor declined; raises OSError or TooSlowError."""
+        """Returns whether the successor accepted the offer; raises OSError or TooSlowError."""
         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", descriptors))]
         with trio.fail_after(REPLY_TIMEOUT_S):
             await sock.sendmsg([encode_offer(offer)], rights)
@@ -171,7 +171,7 @@
         if reply == DECLINE:
             return False
         if reply != READY:
-            raise OSError(f"unexpected reply {reply!r}")
+            raise OSError(f"unexpected reply to a stream offer: {reply!r}")
         await sock.send(COMMIT)
         return True
 
@@ -182,7 +182,7 @@
     def __init__(
         self, core: Dispatcher, hosts: UpstreamDriver, listener: Callable[[], Listener | None]
     ) -> None:
-        """Creates a receiver that does not listen yet.
+        """Creates a receiver that is not listening yet.
 
         Args:
             core: The dispatcher that continues the streams.
@@ -203,7 +203,7 @@
                 finally:
                     task_status.started()
             except OSError as error:
-                log("stream_migration_failed", error=repr(error))  # streams end in their own process
+                log("stream_migration_failed", error=repr(error))  # the streams end in the predecessor
                 return
             try:
                 async with trio.open_nursery() as nursery:
@@ -236,7 +236,7 @@
                     pass
             except OSError as error:
                 log("stream_migration_failed", error=repr(error))
-            except Exception as error:  # one stream's failure must not end the service
+            except Exception as error:  # the failure of one stream must not end the service
                 log_rate_limited("stream_migration_failed", error=repr(error))
 
     async def _receive(self, sender: trio.socket.SocketType) -> bool:
@@ -250,13 +250,12 @@
         try:
             if not data:
                 return False
-            offer = self._acceptable(data, sockets)
+            offer = self._accept_offer(data, sockets)
             await sender.send(DECLINE if offer is None else READY)
             if offer is None:
                 return True
-            # No timeout: a COMMIT that arrives just as it expires would leave the stream with neither
-            # process.
-            # The wait ends when the predecessor exits, since that closes its socket.
+            # There is no timeout, because a COMMIT that arrives just as it expires would leave the stream
+            # with neither process. The wait ends when the predecessor exits, since that closes its socket.
             if await sender.recv(MAX_MESSAGE_BYTES) == COMMIT:
                 self._adopt(offer, StreamSockets(*sockets))
                 adopted = True
@@ -266,19 +265,19 @@
                 for sock in sockets:
                     sock.close()
 
-    def _acceptable(self, data: bytes, sockets: list[socket.socket]) -> StreamOffer | None:
-        """Returns the offer, or None if this process cannot accept it."""
+    def _accept_offer(self, data: bytes, sockets: list[socket.socket]) -> StreamOffer | None:
+        """Returns the offer, or None if this process cannot take it over."""
         try:
-            return self._check_offer(data, sockets)
+            return self._validate_offer(data, sockets)
         except InvalidOfferError as error:
             log("stream_migration_rejected", reason=error.reason)
             return None
 
-    def _check_offer(self, data: bytes, sockets: list[socket.socket]) -> StreamOffer:
-        """Raises InvalidOfferError."""
+    def _validate_offer(self, data: bytes, sockets: list[socket.socket]) -> StreamOffer:
+        """Decodes and checks an offer; raises InvalidOfferError."""
         offer = decode_offer(data, len(self._core.settings.classes))
         if len(sockets) != SOCKETS_PER_STREAM:
-            raise InvalidOfferError(f"{len(sockets)} sockets, expected {SOCKETS_PER_STREAM}")
+            raise InvalidOfferError(f"received {len(sockets)} sockets, expected {SOCKETS_PER_STREAM}")
         if offer.id in self._core.open_requests:
             raise InvalidOfferError(f"request {offer.id!r} is already open")
         if self._listener() is None:
@@ -302,12 +301,12 @@
 
 
 def _remove(path: Path) -> None:
-    """Deletes the socket's file, which takes microseconds and may run in an event loop."""
+    """Deletes the file of the socket. This takes microseconds, so it may block the event loop."""
     path.unlink(missing_ok=True)
 
 
 def _descriptors(ancillary: list[AncillaryData]) -> list[int]:
-    """File descriptors in the ancillary data of a message."""
+    """Returns the file descriptors in the ancillary data of a message."""
     descriptors = array.array("i")
     for level, kind, data in ancillary:
         if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
