--- a/tests/test_connection_life.py
+++ b/tests/test_connection_life.py
@@ -58,7 +58,7 @@
 ) -> None:
     lines: list[dict[str, Any]] = []
     lifecycle = ConnectionLifecycle(lambda event, **fields: lines.append({"event": event, **fields}))
-    with pytest.raises(InvalidTransitionError, match="output_written in state unread"):
+    with pytest.raises(InvalidTransitionError, match="event output_written is not valid in state unread"):
         lifecycle.apply(ConnectionEvent.OUTPUT_WRITTEN)
     monkeypatch.setattr(ConnectionLifecycle, "strict", False)
     lifecycle.apply(ConnectionEvent.OUTPUT_WRITTEN)
--- a/violetstack/net/downstream/__init__.py
+++ b/violetstack/net/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Client connections: the listener and what it accepts."""
+"""Client connections: the listener, and the connections that it accepts."""
--- a/violetstack/net/downstream/closing.py
+++ b/violetstack/net/downstream/closing.py
@@ -1,7 +1,8 @@
-"""Why client connections are closed: typed reasons, their counts, and a line where a close may cost bytes.
+"""Counts the closes of client connections by reason, and logs those that may lose data.
 
-A close over unread input resets the connection (RFC 9112, section 9.6), and the reset destroys what the
-client has not received, or not read. Each close is therefore looked at for what is owed, unsent and unread.
+Closing a socket with unread input resets the connection (RFC 9112, section 9.6), and the reset destroys data
+that the client has not received or not read yet. Each close is therefore checked for requests without a
+response, unsent output and unread input.
 """
 
 from __future__ import annotations
@@ -22,66 +23,66 @@
 
 INT_BYTES = struct.calcsize("i")
 RECENT_RESPONSE_MS = 1000
-"""A client may still be reading a response that has ended since, or be writing its next request."""
+"""For this long after a response its client may still read it, or be writing its next request."""
 
 
 class CloseReason(StrEnum):
-    """What made this process close a client connection."""
+    """Why this process closed a client connection."""
 
     CLIENT_ENDED = "client_ended"
-    """The client has closed the connection, or ended its sending."""
+    """The client closed the connection or its sending side."""
     CONNECTION_BROKEN = "connection_broken"
-    """The client or the network has reset it."""
+    """The client or the network reset the connection."""
     CLIENT_STALLED = "client_stalled"
-    """The client has read nothing for as long as is waited for that."""
+    """The client did not read its response within the time limit."""
     RESPONSE_ENDED = "response_ended"
-    """The response has announced it, or the client has asked for it."""
+    """The response announced the close, or the client asked for it."""
     STREAM_BROKEN = "stream_broken"
-    """The model host's stream has ended before its time."""
+    """The stream of the model host broke off."""
     REQUEST_REJECTED = "request_rejected"
-    """What the client has sent cannot be answered otherwise."""
+    """The client's request was rejected, and the connection cannot go on after that."""
     REQUEST_TIMEOUT = "request_timeout"
-    """A first request, or the rest of one, did not come in time."""
+    """The first request, or the rest of a request, did not arrive in time."""
     EVICTED = "evicted"
-    """To make room for another connection."""
+    """It was closed to make room for another connection."""
     SHUTDOWN_IDLE = "shutdown_idle"
-    """No request was open on it while the process shuts down."""
+    """The process shuts down, and no request was open on the connection."""
     MIGRATED = "migrated"
-    """Another process goes on with it."""
+    """Another process took over the connection."""
     PROCESS_ENDED = "process_ended"
-    """The process ends while it is open."""
+    """The process ended while the connection was open."""
     INTERNAL_ERROR = "internal_error"
-    """Its task has failed."""
+    """The task of the connection failed."""
 
 
 class Violation(StrEnum):
-    """What a close may not do to a client that is still there."""
+    """A promise that a close breaks to a client that is still connected."""
 
     ANSWER_OWED = "answer_owed"
-    """A request that was read has no response."""
+    """A request that was read got no response."""
     STREAM_CUT = "stream_cut"
-    """A response has begun and not ended, and its model host's stream has not broken."""
+    """A response was cut off although the stream of its model host had not broken."""
     OUTPUT_UNSENT = "output_unsent"
-    """Output is left in this process, or in the kernel, where a reset may still destroy it."""
+    """Output was left in this process, or in the kernel, where a reset may still destroy it."""
     UNREAD_INPUT = "unread_input"
-    """Input of a request under way was never read, and the client was told of no end before it."""
+    """Input of an unfinished request was not read, and the end of the connection was not announced before."""
     QUEUE_CLOSED = "queue_closed"
-    """A listening socket is closed while connections wait in its queue, which resets them."""
+    """A listening socket was closed while connections waited in its queue, which resets them."""
 
 
 class Close(msgspec.Struct, frozen=True):
-    """One close, as it is found right before.
+    """The state of a connection right before it is closed.
 
     Attributes:
-        reason: What caused it.
+        reason: Why it is closed.
         state: The state of the connection.
-        request_id: The last request on it; empty if there was none.
-        unread_bytes: Input in the socket that was never read.
+        request_id: Id of the last request on it; empty if there was none.
+        unread_bytes: Input in the socket that was not read.
         unacknowledged_bytes: Output that the client's machine has not acknowledged.
         unwritten_bytes: Output that the kernel has not taken.
-        idle_ms: Time since the last response has ended, or since the connection was accepted.
-        end_announced: The client has been told that the connection ends, or its sending half has been closed.
-        client_ended: The client has closed the connection, or ended its sending.
+        idle_ms: Time since the last response ended or, without one, since the connection was accepted.
+        end_announced: Whether a response announced the end of the connection, or its sending side was closed.
+        client_ended: Whether the client closed the connection or its sending side.
     """
 
     reason: CloseReason
@@ -96,11 +97,11 @@
 
     @property
     def served_recently(self) -> bool:
-        """Whether a response has ended on it shortly before."""
+        """Whether a response ended on the connection shortly before."""
         return bool(self.request_id) and self.idle_ms < RECENT_RESPONSE_MS
 
     def violations(self) -> list[Violation]:
-        """Which promises to the client it breaks."""
+        """The promises to the client that this close breaks."""
         if self.client_ended or self.reason in HARMLESS_REASONS:
             return []
         broken = []
@@ -124,7 +125,7 @@
         CloseReason.MIGRATED,
     }
 )
-"""The client has gone, or the connection lives on in another process."""
+"""The client is gone, or the connection continues in another process."""
 
 
 class CloseMonitor:
@@ -151,7 +152,7 @@
             self._log("client_connection_violation", violation=violation.value, **_log_fields(close))
 
     def record_queue_closed(self, address: str) -> None:
-        """A listening socket is closed over connections that nobody has accepted."""
+        """Records that a listening socket is closed while connections wait in its queue."""
         self.violations[Violation.QUEUE_CLOSED] += 1
         self._log("client_connection_violation", violation=Violation.QUEUE_CLOSED.value, listen=address)
 
@@ -163,14 +164,14 @@
 
 
 def unread_bytes(stream: trio.abc.Stream) -> int:
-    """Bytes that wait in the socket of the open stream; 0 where the system does not tell."""
+    """Unread bytes in the socket of the open stream; 0 if the system does not report them."""
     return _queued_bytes(stream, termios.FIONREAD)
 
 
 def unacknowledged_bytes(stream: trio.abc.Stream) -> int:
-    """Written bytes that the peer's machine has not acknowledged; 0 where the system does not tell.
+    """Written bytes that the peer's machine has not acknowledged; 0 if the system does not report them.
 
-    The end of the sending counts as one byte.
+    The end of the sending side (FIN) counts as one byte.
     """
     return _queued_bytes(stream, termios.TIOCOUTQ)
 
--- a/violetstack/net/downstream/connection.py
+++ b/violetstack/net/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: one task reads requests, one writes responses."""
+"""One client connection: one task reads requests, another writes responses."""
 
 from __future__ import annotations
 
@@ -38,33 +38,33 @@
     from violetstack.net.downstream.listener import Listener
 
 MIGRATION_FLUSH_TIMEOUT_S = 0.3
-"""Output that is not written by then keeps a stream from being migrated to another process."""
+"""A stream is not migrated to another process if its output is not written by then."""
 CLOSE_TIMEOUT_S = 1.0
 BODIES_FULL = "too many requests are being held"
 CLIENT_ENDED = "the client has ended its sending"
 
 UNUSED_PARSER = HttpServerConnection()
-"""Stands for the parser of every connection that has sent nothing yet; never fed."""
+"""Placeholder for the parser of all connections that have sent nothing yet; never fed."""
 
 
 class MigrationPause:
-    """Reading stops for as long as the stream may pass to another process."""
+    """Stops the reading task while the stream may be handed over to another process."""
 
     def __init__(self) -> None:
         self.reading_stopped = trio.Event()
         self.resumed = trio.Event()
 
     async def wait(self) -> None:
-        """Called by the reading task: nothing is read until the stream goes on here."""
+        """Called by the reading task; returns once the stream continues in this process."""
         self.reading_stopped.set()
         await self.resumed.wait()
 
 
 class DownstreamConnection:
-    """One client's connection. The answering methods never wait: what they write is queued.
+    """One client's connection. The methods that send a response never wait: they queue their output.
 
-    Parser, output queue and the writing task are made with the first byte: connections that send nothing
-    cost little memory.
+    The parser, the output queue and the writing task are created with the first byte, so that connections
+    that send nothing use little memory.
     """
 
     __slots__ = (
@@ -103,33 +103,33 @@
         self.last_used = trio.current_time()
         self.progress_at = self.last_used
         self.request_received = False
-        """At least one complete request has arrived."""
+        """Whether at least one complete request has arrived."""
         self.buffered_bytes = 0
         """Size of the body of the request that is arriving or being answered."""
         self.unread_since = 0.0
-        """The bytes that are read next may have waited in the socket since then; 0 if they have not."""
+        """The bytes that are read next may have waited in the socket since this time; 0 if they have not."""
         self.over_limit = over_limit
-        """Over the bound on connections: requests are answered 503."""
+        """Whether the connection exceeds the limit on connections: its requests are answered with 503."""
         self.scope = trio.CancelScope()
         self.evicted = False
         self.ends_when_idle = False
-        """The connection ends in order unless a request arrives in this very moment."""
+        """Whether the connection is to end in an orderly way, unless a request has just arrived."""
         self.close_reason: CloseReason | None = None
-        """What made this process close the connection first."""
+        """The first reason why this process closes the connection."""
         self.migration_pause: MigrationPause | None = None
         self._request_id = ""
         self._streamed = False
-        """The last response was a stream, and its last chunk has been queued."""
+        """Whether the last response was a stream whose last chunk has been queued."""
         self._response: ResponseHandle | None = None
 
     def start_parsing(self, http: HttpServerConnection) -> None:
-        """Called with the first byte, or when another process has handed the connection over."""
+        """Called before the first byte is read, or when another process has handed over the connection."""
         self.http = http
         self._output = WriteQueue()
         self._reader = ConnectionReader(self)
 
     def adopt_response(self) -> ResponseHandle:
-        """The handle of a response whose beginning another process has written."""
+        """Returns the handle of a response whose beginning another process has written."""
         self.lifecycle.apply(ConnectionEvent.STREAM_ADOPTED)
         self.request_received = True
         self._response = ResponseHandle(self)
@@ -150,7 +150,7 @@
         """Queues the head of a streamed response."""
         self._announce_close()
         if self.http.closing:
-            self._reader.interrupt()  # what comes now is left unread
+            self._reader.interrupt()  # further input is left unread
         self._streamed = False
         self._reader.consecutive_rejections = 0
         self._output.put(self.http.stream(status, headers))
@@ -167,12 +167,12 @@
         self._response_ended(broken=False)
 
     def cut(self) -> None:
-        """Closes once all is written, without the last chunk: a broken stream must not look complete."""
+        """Closes after all output, but without the last chunk: a broken stream must not look complete."""
         self.note_close_reason(CloseReason.STREAM_BROKEN)
         self._response_ended(broken=True)
 
     def note_close_reason(self, reason: CloseReason) -> None:
-        """Notes why this process closes the connection; the first reason counts."""
+        """Notes why this process closes the connection; the first reason is kept."""
         if self.close_reason is None:
             self.close_reason = reason
 
@@ -182,7 +182,7 @@
             await self._output.wait_writable()
 
     def _announce_close(self) -> None:
-        """Announces the connection's end while this process ends, unless another request has been read."""
+        """While this process drains, announces the end of the connection, unless another request was read."""
         if self.listener.draining and not self.http.unread:
             self.http.closing = True
 
@@ -198,13 +198,13 @@
             if not self.evicted:
                 self.listener.table.mark_idle(self)
         if self.lifecycle.ending or self.http.unread:
-            self._reader.interrupt()  # nothing more is wanted, or the next request has been read already
+            self._reader.interrupt()  # no more input is needed, or the next request was already read
         self._output.wake()
 
     # --- migration of a stream to another process ---
 
     async def pause_for_migration(self) -> bool:
-        """Stops reading and writing between two events; False, with no effect, if not possible now."""
+        """Stops reading and writing between two events; False, without effect, if not possible now."""
         if not self._can_migrate() or not self._reader.waiting_for_input:
             return False
         pause = self.migration_pause = MigrationPause()
@@ -232,13 +232,13 @@
         return self.stream.socket.fileno()
 
     def resume(self) -> None:
-        """Goes on after a migration that did not take place."""
+        """Continues the stream here after a migration that did not take place."""
         if self.migration_pause is not None:
             self.migration_pause.resumed.set()
         self.migration_pause = None
 
     def detach(self) -> None:
-        """Another process has the connection: this end is closed without shutting it down."""
+        """Closes this end without shutting down the connection, which another process now has."""
         self.note_close_reason(CloseReason.MIGRATED)
         self.request = None
         self._response = None
@@ -246,9 +246,9 @@
         self.scope.cancel()
 
     def evict(self, reason: CloseReason = CloseReason.EVICTED) -> None:
-        """Closes the connection; a request that has been read, or begun to be, is answered first.
+        """Closes the connection; a request that was read, even in part, is answered first.
 
-        A read that has already taken bytes from the socket returns them, although it is cancelled.
+        A read that has already taken bytes from the socket returns them although it is cancelled.
         """
         self.note_close_reason(reason)
         self.evicted = True
@@ -258,16 +258,16 @@
             self.scope.cancel()
 
     def end_when_idle(self, reason: CloseReason) -> None:
-        """Ends an idle connection in order; a request that has been read meanwhile is answered first."""
+        """Ends an idle connection in an orderly way; a request that was read meanwhile is answered first."""
         if not self._reader.waiting_for_input:
-            return  # it is about to look at what it has read
+            return  # the reading task is about to handle new input
         self.ends_when_idle = True
-        self._streamed = False  # its client has had the time to read the response
+        self._streamed = False  # the client has had time to read the response
         self.note_close_reason(reason)
         self._reader.interrupt()
 
     def begin_close(self) -> None:
-        """Nothing is under way: the connection ends once all output is written."""
+        """Ends a connection without a request under way, once all output is written."""
         self.lifecycle.apply(ConnectionEvent.END_BEGUN)
         self.listener.table.mark_in_use(self)
         self._output.wake()
@@ -275,16 +275,16 @@
     # --- state of the socket ---
 
     def client_has_closed(self) -> bool:
-        """Whether the client has closed its connection, or ended its sending, even behind unread bytes."""
+        """Whether the client has closed the connection or its sending side, even behind unread bytes."""
         return self.lifecycle.closed or peer_has_closed(self.stream)
 
     def has_unread(self) -> bool:
-        """Whether bytes, or the client's end, wait in the socket."""
+        """Whether unread bytes or the client's close wait in the socket."""
         return not self.lifecycle.closed and has_unread(self.stream)
 
     @property
     def client_ended(self) -> trio.Event:
-        """Set once the client has ended its sending, for a connection on which something was read."""
+        """Set once the client has closed its sending side; only for connections that have read a byte."""
         return self._reader.client_ended
 
     @property
@@ -294,13 +294,13 @@
 
     @property
     def unwritten_bytes(self) -> int:
-        """Bytes of responses that wait for the client to read."""
+        """Bytes of responses that the kernel has not accepted yet."""
         return self._output.pending_bytes if self.http is not UNUSED_PARSER else 0
 
     # --- tasks ---
 
     async def serve(self) -> None:
-        """Reads requests and writes responses until the connection ends; raises nothing but Cancelled."""
+        """Reads requests and writes responses until the connection ends; raises only trio.Cancelled."""
         try:
             with self.scope:
                 if self.http is not UNUSED_PARSER or await self._start():
@@ -311,7 +311,7 @@
                             self.note_close_reason(CloseReason.CLIENT_ENDED)
                             nursery.cancel_scope.cancel()
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
-            self.close_reason = CloseReason.CONNECTION_BROKEN  # whatever was to come next
+            self.close_reason = CloseReason.CONNECTION_BROKEN  # replaces any earlier reason
         except* trio.TooSlowError:
             self.close_reason = CloseReason.CLIENT_STALLED
         except* Exception as errors:  # a failing connection must not end the listener
@@ -350,21 +350,21 @@
         )
 
     async def _start(self) -> bool:
-        """Waits for the first byte; False if the time for one is over."""
+        """Waits for the first byte; False if it does not arrive in time."""
         if not await wait_for_first_byte(self):
             self.note_close_reason(CloseReason.REQUEST_TIMEOUT)
             return False
         self.start_parsing(HttpServerConnection())
-        # Not to be evicted as silent between the arrival of these bytes and their use.
+        # Prevents eviction as a silent connection before these bytes are read.
         self.listener.table.mark_progress(self)
         return True
 
     # --- requests, called by ConnectionReader ---
 
     def reading_ended(self) -> None:
-        """Ends the request that waits for its answer, and answers it: the client may still read.
+        """Cancels the request that waits for its response, and rejects it: the client may still read.
 
-        A client that has closed its connection and one that has only ended its sending look alike.
+        A client that has closed the connection looks the same as one that has only closed its sending side.
         """
         if self.lifecycle.state is not ConnectionState.WAITING:
             return
@@ -379,7 +379,7 @@
             self._reject(500 if may_have_run else 503, CLIENT_ENDED)
 
     def request_timed_out(self) -> None:
-        """The rest of a request, or a new connection's first, has not come in time."""
+        """Called when the first request of a connection, or the rest of one, has not arrived in time."""
         self.note_close_reason(CloseReason.REQUEST_TIMEOUT)
         if self.http.busy and self.http.can_answer:
             self._reject(408, "the request did not arrive in time")
@@ -396,7 +396,7 @@
         self.listener.front.rejected(status, reason, ResponseHandle(self))
 
     def _reject_complete_request(self, reason: str) -> None:
-        """Rejects a complete request; the connection ends unless another has been read behind it."""
+        """Rejects a complete request; the connection ends unless another request was read behind it."""
         self.http.closing = self.http.closing or not self.http.unread
         self.lifecycle.apply(ConnectionEvent.REQUEST_READ)
         self.request_received = True
@@ -411,7 +411,7 @@
             self._reject(503, reason)
 
     def handle_next_request(self) -> None:
-        """Hands the next complete request to the front, once the one before is answered."""
+        """Hands the next complete request to the front once the previous one is answered."""
         while not self.lifecycle.answering and not self.lifecycle.ending:
             if self._reader.must_delay_pipeline:
                 return
@@ -438,7 +438,7 @@
         if self.http.busy and self.lifecycle.state in RESTING_STATES:
             self.lifecycle.apply(
                 ConnectionEvent.REQUEST_BEGUN
-            )  # it had been read behind the request before it
+            )  # its bytes were read behind the previous request
         if self.listener.table.bodies_full and self.http.size:
             self._reject(503, BODIES_FULL)
         elif self._reader.discarded and self.http.busy:
@@ -451,7 +451,7 @@
             self._output.put([self.http.continue_100()])
 
     def _rejection_reason(self) -> str:
-        """Why a complete request is not handed to the front; empty if it is."""
+        """The reason to reject a complete request; empty if it is to be handed to the front."""
         if self.over_limit:
             return "the dispatcher holds too many connections"
         if self._reader.exceeds_pipeline_limit:
@@ -459,10 +459,10 @@
         if self.listener.table.bodies_full and self.http.size:
             return BODIES_FULL
         if self.listener.rejecting_requests:
-            # The end of this process would cut the answer off; the client asks again elsewhere.
+            # The end of this process would cut off the response; the client retries elsewhere.
             return "this process ends"
         if self.client_has_closed():
-            # Nothing is begun for it; it may have ended its sending alone, and still read.
+            # No request is started for it. It may have closed only its sending side, and still read.
             return CLIENT_ENDED
         return ""
 
@@ -476,7 +476,7 @@
         try:
             self.listener.front.handle(inbound, self._response)
             self._request_id = self.request.id if self.request is not None else ""
-        except Exception as error:  # a fault that one request shows must not cost it its answer
+        except Exception as error:  # an internal fault must not leave the request without a response
             log_rate_limited("request_failed", error=repr(error))
             if self.lifecycle.answering and self.request is None:
                 self._response.connection_lost()
--- a/violetstack/net/downstream/connection_lifecycle.py
+++ b/violetstack/net/downstream/connection_lifecycle.py
@@ -1,7 +1,8 @@
-"""The life of a client connection: its states, and one table of the events that change them.
+"""The lifecycle of a client connection: its states, and one table of the events that change them.
 
-The table is what the code runs by, as h11's is for a message: an event that a state does not know changes
-nothing, is logged, and fails the tests. Who may cause an event stands beside it.
+The code is driven by this table, as h11 is by its table of message states. An event that is not valid in the
+current state changes nothing and is logged; in tests it raises an error. Each event's docstring begins with
+the component that causes it.
 """
 
 from __future__ import annotations
@@ -12,47 +13,47 @@
 
 
 class ConnectionState(StrEnum):
-    """How far a client connection has come."""
+    """The state of a client connection."""
 
     UNREAD = "unread"
-    """It has been accepted, and nothing of it was read."""
+    """The connection was accepted, and nothing was read from it."""
     READING = "reading"
     """A request has begun to arrive."""
     WAITING = "waiting"
-    """A request has arrived, or been rejected, and its response has not begun."""
+    """A request has arrived or was rejected, and its response has not begun."""
     STREAMING = "streaming"
     """A response has begun and not ended."""
     IDLE = "idle"
-    """Responses have ended, and another request may come."""
+    """All responses have ended, and another request may arrive."""
     FLUSHING = "flushing"
-    """The connection ends once its output is written; no further request is taken."""
+    """The connection ends once its output is written; no further request is accepted."""
     LINGERING = "lingering"
-    """All output is with the kernel; its arrival and the client's end are awaited."""
+    """The kernel has all output; waits until the client has received it and closed the connection."""
     CLOSED = "closed"
-    """The socket is closed, or about to be in this very step."""
+    """The socket is closed, or is closed before any other task runs."""
 
 
 class ConnectionEvent(StrEnum):
-    """What changes the state, and who causes it."""
+    """An event that changes the state, with the component that causes it."""
 
     REQUEST_BEGUN = "request_begun"
-    """Reader: bytes of a request have come."""
+    """Reader: the first bytes of a request have arrived."""
     REQUEST_READ = "request_read"
-    """Reader: a request is complete, or can only be rejected; a response to it follows."""
+    """Reader: a request is complete or has to be rejected; a response follows."""
     RESPONSE_BEGUN = "response_begun"
     """Front: the head of a streamed response is queued."""
     RESPONSE_ENDED = "response_ended"
-    """Front: a response is queued to its end, and the connection may go on."""
+    """Front: a response is queued to its end, and the connection stays open."""
     LAST_RESPONSE_ENDED = "last_response_ended"
-    """Front: a response is queued to its end or broken off, and the connection ends with it."""
+    """Front: a response is queued to its end or broken off, and the connection ends after it."""
     END_BEGUN = "end_begun"
-    """Reader: nothing is under way and nothing more is wanted: a shutdown, a timeout, a flood."""
+    """Reader: the connection ends without a request under way: shutdown, timeout or too much input."""
     OUTPUT_WRITTEN = "output_written"
-    """Writer: the kernel has taken all output of a connection that ends."""
+    """Writer: the kernel has accepted all output of a connection that ends."""
     STREAM_ADOPTED = "stream_adopted"
-    """Listener: another process has begun the response that goes on here."""
+    """Listener: took over a connection whose response another process has begun."""
     SOCKET_CLOSED = "socket_closed"
-    """`DownstreamConnection._close`, which alone closes the socket."""
+    """`DownstreamConnection._close`, the only place that closes the socket."""
 
 
 S = ConnectionState
@@ -99,18 +100,18 @@
 }
 
 ANSWERING_STATES = frozenset({S.WAITING, S.STREAMING})
-"""A response is owed, or under way."""
+"""A response is due or under way."""
 ENDING_STATES = frozenset({S.FLUSHING, S.LINGERING})
-"""The connection ends once its output has arrived."""
+"""The connection ends once the client has received its output."""
 RESTING_STATES = frozenset({S.UNREAD, S.IDLE})
-"""Between requests a connection may end; a client whose request crosses that sends it once more."""
+"""The connection may end in these states; a client whose request crosses the close sends it once more."""
 
 
 class InvalidTransitionError(Exception):
-    """An event that the state does not know; raised in tests alone."""
+    """An event that is not valid in the current state; raised only in tests."""
 
     def __init__(self, state: ConnectionState, event: ConnectionEvent) -> None:
-        super().__init__(f"{event.value} in state {state.value}")
+        super().__init__(f"event {event.value} is not valid in state {state.value}")
         self.state = state
         self.event = event
 
@@ -120,19 +121,19 @@
 
     Attributes:
         state: The current state.
-        strict: Whether an invalid event raises InvalidTransitionError; else it is logged and changes nothing.
+        strict: Whether an invalid event raises InvalidTransitionError; otherwise it is only logged.
     """
 
     __slots__ = ("_log", "state")
     strict: ClassVar[bool] = False
 
     def __init__(self, log: Callable[..., None]) -> None:
-        """Begins in the state UNREAD; `log` writes a rate-limited line."""
+        """Starts in the state UNREAD; `log` writes a rate-limited line."""
         self.state = ConnectionState.UNREAD
         self._log = log
 
     def apply(self, event: ConnectionEvent) -> None:
-        """Changes the state as the table says."""
+        """Changes the state according to the table."""
         next_state = TRANSITIONS[self.state].get(event)
         if next_state is not None:
             self.state = next_state
@@ -143,12 +144,12 @@
 
     @property
     def answering(self) -> bool:
-        """Whether a response is owed, or under way."""
+        """Whether a response is due or under way."""
         return self.state in ANSWERING_STATES
 
     @property
     def ending(self) -> bool:
-        """Whether the connection ends once its output has arrived; no further request is taken."""
+        """Whether the connection ends once the client has received its output; accepts no further request."""
         return self.state in ENDING_STATES
 
     @property
--- a/violetstack/net/downstream/connection_reader.py
+++ b/violetstack/net/downstream/connection_reader.py
@@ -1,4 +1,4 @@
-"""The reading half of a client connection: bytes into the parser, in time and within bounds."""
+"""The reading half of a client connection: feeds the parser, within limits on time and size."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 READ_SIZE = 32 * 1024
 REQUEST_TIMEOUT_S = 2.2
-"""A new connection's first byte, and the next bytes of a request that has begun, come within this time."""
+"""Limit for a new connection's first byte, and for the next bytes of a request that has begun."""
 MAX_ARRIVAL_S = 15.0
-"""A whole request arrives within this time; within REQUEST_TIMEOUT_S if connections are many."""
+"""Limit for a whole request; REQUEST_TIMEOUT_S if many connections are open."""
 LATE_READ_S = 0.05
-"""For bytes that are in the socket when the time for them is over; under TLS they may be no whole record."""
-REJECTION_DELAY_S = 0.05
+"""Limit for reading bytes that wait in the socket at the deadline; with TLS they may be a partial record."""
+REJECTION_DELAY_S = 0.05  # first delay of reads after consecutive rejections; each is twice the one before
 MAX_REJECTION_DELAY_S = 0.1
 MAX_UNREAD_BYTES = 512 * 1024
-"""Bytes behind an unanswered request that are kept; what comes beyond them is dropped."""
+"""Limit for bytes kept behind an unanswered request; further ones are discarded."""
 MAX_UNREAD_BYTES_WHEN_FULL = 64 * 1024
-"""The same while the bound on request bodies is exceeded."""
+"""The same while the limit on buffered request bodies is exceeded."""
 PIPELINE_BURST = 8
-"""So many requests in a row that have others behind them are handled; further ones are rejected."""
+"""Consecutive requests with others behind them that are handled; further ones are rejected."""
 PIPELINE_DELAY_S = 0.05
-"""Before each request that is rejected for that, to spare the processor."""
+"""Delay before each request that is rejected for that, to save processor time."""
 DISCARD_INTERVAL_S = 0.01
 DISCARD_SIZE = 1024 * 1024
 
 
 async def wait_for_first_byte(connection: DownstreamConnection) -> bool:
-    """Waits for a new connection's first byte; False if the time for one is over."""
+    """Waits for a new connection's first byte; False if it does not arrive in time."""
     if not isinstance(connection.stream, trio.SocketStream):
-        return True  # a TLS handshake has been made
+        return True  # bytes have arrived in the TLS handshake
     with trio.move_on_at(connection.last_used + REQUEST_TIMEOUT_S) as timer:
         await wait_readable(connection.stream.socket)
     if timer.cancelled_caught and not connection.has_unread():
@@ -51,9 +51,9 @@
 
 
 class ConnectionReader:
-    """Reads one connection, and has it handle each request that is complete.
+    """Reads from one connection, and makes it handle each complete request.
 
-    It refers to the connection until `detach`, so that no reference cycle is left.
+    It keeps its reference to the connection until `detach`, which breaks the reference cycle.
     """
 
     __slots__ = (
@@ -71,41 +71,41 @@
     def __init__(self, connection: DownstreamConnection) -> None:
         self.client_ended = trio.Event()
         self.consecutive_rejections = 0
-        """Answers 4xx since the last request that was acceptable."""
+        """Number of 4xx responses since the last acceptable request."""
         self._pipeline_delayed = False
-        """The next request has waited already."""
+        """Whether the next request was already delayed."""
         self.consecutive_pipelined = 0
-        """Requests behind which another had been read when they were handled."""
+        """Number of consecutive requests that were handled when another had already been read behind them."""
         self.discarded = False
-        """Bytes behind the requests that are kept were dropped."""
+        """Whether bytes behind the kept requests were discarded."""
         self._connection: DownstreamConnection | None = connection
         self._read_times = ReadTimes()
         self._wait_scope: trio.CancelScope | None = None
-        """The wait for bytes that is under way."""
+        """Cancel scope of the current wait for input; None if there is none."""
         self._arriving_since = connection.last_used
-        """When the first byte of the request that is arriving came; 0 while none is."""
+        """When the first byte of the arriving request was read, on trio's clock; 0 if none is arriving."""
 
     def detach(self) -> None:
-        """The connection is closed."""
+        """Drops the reference to the connection, which is closed."""
         self._connection = None
 
     @property
     def waiting_for_input(self) -> bool:
-        """Whether a wait for bytes is under way."""
+        """Whether a wait for input is under way."""
         return self._wait_scope is not None
 
     def interrupt(self) -> None:
-        """Ends the wait for bytes that is under way; a read that has taken bytes still returns them."""
+        """Ends the current wait for input; a read that has already taken bytes still returns them."""
         if self._wait_scope is not None:
             self._wait_scope.cancel()
 
     def waited_ms(self, bytes_behind: int) -> float:
-        """How long a complete request has waited since its last byte came; `unused` bytes lie behind it."""
+        """Time since the last byte of a complete request was read; `bytes_behind` further bytes follow it."""
         read_at = self._read_times.last_byte_read_at(bytes_behind)
         return 0.0 if read_at is None else (trio.current_time() - read_at) * 1000.0
 
     async def run(self) -> None:
-        """Reads until the client has ended its sending, or the connection is to be closed."""
+        """Reads until the client closes its sending side, or the connection is to be closed."""
         connection = self._connection
         assert connection is not None
         while not connection.lifecycle.ending:
@@ -122,13 +122,16 @@
                 connection.reading_ended()
                 return
         while connection.http.arriving and await receive_some(connection.stream, READ_SIZE):
-            connection.progress_at = trio.current_time()  # the rest of a request that has been rejected
-        # A request that crosses the announced end is left unread, so that its client sends it once more.
+            connection.progress_at = trio.current_time()  # discards the rest of a rejected request
+        # A request that crosses the announced end is left unread, so that its client sends it again.
         await wait_for_peer_end(connection.stream)
         self.client_ended.set()
 
     def count_pipelined(self, complete: bool) -> None:
-        """A request was taken from the parser, or `complete` is False and more bytes have to come for one."""
+        """Counts consecutive pipelined requests.
+
+        `complete`: whether a request was taken from the parser; otherwise it needs more bytes for one.
+        """
         connection = self._connection
         self._pipeline_delayed = False
         if complete and connection is not None and connection.http.unread:
@@ -138,9 +141,9 @@
 
     @property
     def must_delay_pipeline(self) -> bool:
-        """Whether the next request that has been read is to wait, as its client sends many at once.
+        """Whether the next request that was read has to wait, because its client pipelines too many.
 
-        Each is answered in its turn, unless the client goes first.
+        Each is answered in turn, unless the client disconnects first.
         """
         connection = self._connection
         if self._pipeline_delayed or connection is None or connection.listener.draining or connection.evicted:
@@ -149,7 +152,7 @@
 
     @property
     def exceeds_pipeline_limit(self) -> bool:
-        """Whether the request that was taken from the parser last is one too many at once."""
+        """Whether the request last taken from the parser exceeds the limit on pipelined requests."""
         return self.consecutive_pipelined > PIPELINE_BURST
 
     async def _delay_pipeline(self) -> None:
@@ -159,7 +162,7 @@
         self._wait_scope = None
 
     async def _read_or_wait(self, connection: DownstreamConnection) -> bool:
-        """False if the client has ended its sending, or the connection is to be closed at once."""
+        """Reads or waits once; False if the client closed its sending side or the connection must close."""
         try:
             if connection.lifecycle.answering and connection.http.closing:
                 return await self._wait_for_answer(connection)
@@ -170,21 +173,21 @@
             self._wait_scope = None
 
     def _deadline(self, connection: DownstreamConnection) -> float:
-        """When the next bytes have to be there, on trio's clock; infinite if nothing has to come."""
+        """Deadline for the next bytes, on trio's clock; infinite if no request is expected."""
         if connection.lifecycle.answering or (connection.request_received and not connection.http.busy):
             self._arriving_since = 0.0
             return math.inf
         now = trio.current_time()
         self._arriving_since = self._arriving_since or now
-        short_of_capacity = connection.listener.draining or connection.listener.table.crowded
-        max_arrival_s = REQUEST_TIMEOUT_S if short_of_capacity else MAX_ARRIVAL_S
+        use_short_limit = connection.listener.draining or connection.listener.table.crowded
+        max_arrival_s = REQUEST_TIMEOUT_S if use_short_limit else MAX_ARRIVAL_S
         return min(now + REQUEST_TIMEOUT_S, self._arriving_since + max_arrival_s)
 
     async def _receive(self, connection: DownstreamConnection, deadline: float) -> bool:
         """Reads once, until `deadline`."""
         now = trio.current_time()
         if now >= deadline and connection.has_unread():
-            deadline = now + LATE_READ_S  # it came in time, and this process looks late
+            deadline = now + LATE_READ_S  # it arrived in time, but this process was late to read it
         data: bytes | bytearray = b""
         with trio.move_on_at(deadline) as self._wait_scope:
             if (
@@ -204,7 +207,7 @@
         return bool(data)
 
     async def _read_at_eviction(self, connection: DownstreamConnection) -> bytes | bytearray:
-        """What came after the connection had been chosen to be closed; empty if that is the client's end."""
+        """Reads input that arrived after the choice to evict; empty if the client closed its sending side."""
         with trio.move_on_after(LATE_READ_S):
             return await receive_some(connection.stream, READ_SIZE)
         return b""
@@ -223,17 +226,17 @@
             table.mark_progress(connection)
 
     async def _wait_for_answer(self, connection: DownstreamConnection) -> bool:
-        """Waits for the answer's end with nothing read any more; False if the client ends first."""
+        """Waits for the end of the response without reading; False if the client disconnects first."""
         with trio.CancelScope() as self._wait_scope:
             await wait_for_peer_end(connection.stream)
             return False
         return True
 
     async def _discard_until_answered(self, connection: DownstreamConnection) -> bool:
-        """Drops what comes behind the requests that are kept; False if the client ends before the answer.
+        """Discards input behind the kept requests; False if the client disconnects before the response.
 
-        Reading on is the only way to notice that a client which sent much at once has gone. It is done
-        slowly, to spare the processor. The connection ends once what is kept has been answered.
+        Only reading on shows that a client that sent much at once has disconnected. Reads are infrequent, to
+        save processor time. The connection ends once the kept requests are answered.
         """
         self.discarded = True
         with trio.CancelScope() as self._wait_scope:
@@ -244,7 +247,7 @@
         return True
 
     async def _delay_after_rejections(self, connection: DownstreamConnection) -> None:
-        """Reads less often from a client whose requests are all invalid, to spare the processor."""
+        """Delays the next read from a client whose requests are all invalid, to save processor time."""
         delay = REJECTION_DELAY_S * 2.0 ** (self.consecutive_rejections - 2)
         began = trio.current_time()
         await trio.sleep(min(MAX_REJECTION_DELAY_S, delay))
@@ -253,12 +256,12 @@
 
 
 def _earliest_arrival(connection: DownstreamConnection) -> float:
-    """When what is read from the connection now can have come at the earliest, on trio's clock."""
+    """Earliest time at which input that is read now can have arrived, on trio's clock."""
     return trio.current_time() - connection.listener.core.max_unread_ms() / 1000.0
 
 
 def _note_unread(connection: DownstreamConnection) -> None:
-    """A read has failed that is made again: what waits then has waited since before this one."""
+    """Called when a read has to be retried: notes since when the waiting input may have been there."""
     if not connection.unread_since and connection.has_unread():
         connection.unread_since = _earliest_arrival(connection)
 
@@ -268,7 +271,7 @@
 
 
 def _handle_no_data(connection: DownstreamConnection, deadline: float) -> bool:
-    """No bytes were read; False if the connection is to be closed at once."""
+    """Handles a read without data; False if the connection must be closed now."""
     if connection.evicted:
         return connection.http.busy
     if connection.ends_when_idle and not connection.http.busy:
--- a/violetstack/net/downstream/lingering.py
+++ b/violetstack/net/downstream/lingering.py
@@ -1,7 +1,7 @@
-"""The orderly end of a client connection: nothing that the client has yet to receive is lost to a reset.
+"""Lingering close: ends a client connection without losing output to a reset.
 
-A socket that is closed answers whatever still comes with a reset, and so does a close over unread input; the
-reset destroys what the kernels on the way, or the client, have not delivered. See RFC 9112, section 9.6.
+A closed socket answers further input with a reset, and closing a socket with unread input sends one, too. The
+reset destroys output that was not delivered to the client yet. See RFC 9112, section 9.6.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from violetstack.net.downstream.socket_state import tcp_stream
 
 READ_RESPONSE_S = 0.1
-"""After a stream's last byte its client gets this long to read it, and to close first."""
+"""After a stream's last byte the client has this long to read it and to close the connection first."""
 LINGERING_CLOSE_S = 0.5
-"""After the last response the client gets this long to close, counted from the last bytes it has sent."""
-MAX_LINGERING_CLOSE_S = 2.2
+"""After the last response the client has this long to close, counted from the last bytes that it sent."""
+MAX_LINGERING_CLOSE_S = 2.2  # the same, however often the client sends bytes
 STALLED_CLIENT_S = 2.2
-"""A client that acknowledges nothing for this long reads no more."""
+"""A client that acknowledges no output for this long is assumed not to read any more."""
 POLL_S = 0.05
-"""How often the kernel is asked whether the client's machine has acknowledged more."""
+"""Interval at which the kernel is asked how much output is unacknowledged."""
 
 
 class LingeringConnection(Protocol):
-    """What an orderly end needs of its connection."""
+    """The parts of a connection that a lingering close uses."""
 
     stream: trio.abc.Stream
     progress_at: float
@@ -33,14 +33,14 @@
 
     @property
     def client_ended(self) -> trio.Event:
-        """Set once the client has ended its sending."""
+        """Set once the client has closed its sending side."""
 
 
 class LingeringClose:
-    """Ends the sending, and waits until the client has received everything and has had time to close."""
+    """Closes the sending side, then waits until the client has all output and had time to close."""
 
     def __init__(self, connection: LingeringConnection) -> None:
-        """All output has been handed to the kernel."""
+        """Must be called once the kernel has accepted all output."""
         self._connection = connection
         self._unacknowledged = 0
         self._acknowledged_at = 0.0
@@ -49,8 +49,8 @@
         """Returns when the socket may be closed.
 
         Args:
-            client_closes_first: The client knows where the response ends, so the end of the sending may wait
-                until it has read that.
+            client_closes_first: Whether the client can tell where the response ends. It then has time to read
+                the response and close, before the sending side is closed.
 
         Raises:
             trio.BrokenResourceError: The connection broke.
@@ -75,7 +75,7 @@
         if unacknowledged < self._unacknowledged:
             self._acknowledged_at = now
         self._unacknowledged = unacknowledged
-        if unacknowledged > 1:  # the end of the sending counts as one
+        if unacknowledged > 1:  # the end of the sending side (FIN) counts as one
             return self._acknowledged_at + STALLED_CLIENT_S - now
         if self._connection.client_ended.is_set():
             return 0.0
--- a/violetstack/net/downstream/listener.py
+++ b/violetstack/net/downstream/listener.py
@@ -21,7 +21,7 @@
 
 FIRST_ACCEPT_RETRY_S = 0.005
 MAX_ACCEPT_RETRY_S = 0.1
-"""Pauses after the system had no descriptor or memory for a connection; each is twice the one before."""
+"""First and longest pause after the system had no descriptor or memory; each pause is twice the last."""
 CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -37,33 +37,33 @@
         errno.ETIMEDOUT,
     }
 )
-"""Errors of the one connection that accept(2) took off the queue: the next is accepted at once."""
+"""Errors that concern only the connection that accept(2) took off the queue: the next is accepted at once."""
 MAX_CONNECTION_ERRORS = 16
-"""In a row; further ones are followed by a pause, since they may be no connection's."""
+"""After this many consecutive ones each is followed by a pause: the cause may not be a single connection."""
 MIN_NOTED_PAUSE_MS = 50.0
-"""Shorter waits are not remembered: a third of what a deadline that is passed on may be too long."""
+"""Shorter pauses are ignored: a third of the error that a forwarded deadline may have (0.15 s)."""
 QUEUED_SINCE_VALID_S = 1.0
-"""For this long after a pause or a failed accept, connections in the queue count as old as it was long."""
+"""For this long after a pause or failed accept, queued connections count as waiting since its start."""
 MAX_CONCURRENT_REJECTIONS = 12
-"""Connections over the bound that are kept until they are answered; further ones are closed unread."""
+"""Connections over the limit that are kept until they are answered; further ones are closed unread."""
 TlsHandshake = Callable[[trio.SocketStream], Awaitable[trio.abc.Stream]]
 """Performs the TLS handshake."""
 
 
 class AcceptFailures:
-    """How long to wait after a failed accept: connections behind the failed one wait as well."""
+    """Chooses the pause after a failed accept, which also delays the connections behind the failed one."""
 
     def __init__(self) -> None:
         self._connection_errors = 0
         self._pause_s = FIRST_ACCEPT_RETRY_S
 
     def accepted(self) -> None:
-        """Ends a series of failures."""
+        """Resets the pauses after a successful accept."""
         self._connection_errors = 0
         self._pause_s = FIRST_ACCEPT_RETRY_S
 
     def pause_s(self, error: OSError) -> float:
-        """The pause after one more failure."""
+        """Returns the pause after one more failure."""
         if error.errno in CONNECTION_ERRORS and self._connection_errors < MAX_CONNECTION_ERRORS:
             self._connection_errors += 1
             return 0.0
@@ -73,10 +73,10 @@
 
 
 class Listener:
-    """The connections of one front.
+    """Accepts and serves the connections of one front.
 
-    All clients are accepted, so that none waits unseen in the kernel's queue; the bound on descriptors is
-    kept by closing the connection that is needed least, or else the new one.
+    All connections are accepted, so that none waits unnoticed in the kernel's queue. The limit on descriptors
+    is kept by closing the least useful connection or, if all are in use, the new one.
     """
 
     def __init__(self, core: Dispatcher, front: Front) -> None:
@@ -85,11 +85,11 @@
         self.table = ConnectionTable(MAX_CONCURRENT_REJECTIONS)
         self.closes = CloseMonitor(log_rate_limited)
         self.draining = False
-        """Responses announce the connection's end, as this process shuts down."""
+        """Whether responses announce the end of their connection, because this process shuts down."""
         self.rejecting_requests = False
-        """Requests are rejected, as the shutdown would cut their answers off."""
+        """Whether requests are rejected, because the shutdown would cut off their responses."""
         self._queued_since = 0.0
-        """Connections in the queue may have waited since then; 0 if that is not known."""
+        """Queued connections may have waited since this time, on trio's clock; 0 if that is not known."""
         self._queue_seen_at = 0.0
         self._nursery: trio.Nursery
 
@@ -105,7 +105,7 @@
     def adopt(self, raw: socket.socket, closing: bool) -> ResponseHandle:
         """Takes over a connection whose streamed response another process has begun.
 
-        `closing`: the response's head has announced the connection's end.
+        `closing`: whether the head of the response announced the end of the connection.
         """
         stream = trio.SocketStream(trio.socket.from_stdlib_socket(raw))
         connection = DownstreamConnection(stream, self)
@@ -123,8 +123,8 @@
             try:
                 stream = await listener.accept()
             except trio.ClosedResourceError:
-                return  # the shutdown has closed the listening socket
-            except OSError as error:  # the fault of one connection, or no descriptor or memory is left
+                return  # closed by the shutdown
+            except OSError as error:  # one connection failed, or no descriptor or memory is left
                 log_rate_limited("accept_failed", error=str(error))
                 self._note_queued_since(trio.current_time())
                 await trio.sleep(failures.pause_s(error))
@@ -136,13 +136,13 @@
             await self._handle_accepted(stream, tls_handshake)
 
     def _note_queued_since(self, since: float) -> None:
-        """Connections that are accepted before the queue is empty may have waited since then."""
+        """Notes that connections accepted before the queue is empty may have waited since `since`."""
         if not self._queued_since:
             self._queued_since = since
             self._queue_seen_at = trio.current_time()
 
     def _accepted_unread_since(self) -> float:
-        """How long ago what a new connection holds may have come, as a time on trio's clock."""
+        """Earliest time at which the input of a new connection may have arrived, on trio's clock."""
         now = trio.current_time()
         recent = now - self._queue_seen_at < QUEUED_SINCE_VALID_S
         return self._queued_since if self._queued_since and recent else now
@@ -150,7 +150,7 @@
     async def _handle_accepted(self, stream: trio.SocketStream, tls_handshake: TlsHandshake | None) -> None:
         try:
             has_room = self.table.has_room()
-        except Exception as error:  # a failure over one connection must not end the listener
+        except Exception as error:  # a failure with one connection must not end the listener
             log_rate_limited("accept_failed", error=repr(error))
             has_room = False
         if has_room:
@@ -167,7 +167,7 @@
             await trio.aclose_forcefully(stream)
 
     async def _serve_over_limit(self, raw: trio.SocketStream, tls_handshake: TlsHandshake | None) -> None:
-        """Reads the requests of a connection over the bound and answers them 503."""
+        """Reads the requests of a connection over the limit and answers them with 503."""
         try:
             stream: trio.abc.Stream | None = (
                 raw if tls_handshake is None else await self._handshake(raw, tls_handshake)
@@ -206,5 +206,5 @@
 
 
 def _queue_is_empty(listener: trio.SocketListener) -> bool:
-    """Whether no connection waits to be accepted; also if the listener has been closed."""
+    """Whether no connection waits to be accepted; True if the listener was closed."""
     return listener.socket.fileno() < 0 or not is_readable(listener.socket, if_unknown=True)
--- a/violetstack/net/downstream/read_times.py
+++ b/violetstack/net/downstream/read_times.py
@@ -1,4 +1,4 @@
-"""When the bytes were read that a connection's parser holds."""
+"""Times at which the bytes in a connection's parser were read."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 import msgspec
 
 MERGED_READS_S = 0.02
-"""Reads that are closer together count as one, so that single bytes cost no memory."""
+"""Reads closer together than this are merged, so that reads of single bytes use no memory."""
 
 
 class Read(msgspec.Struct):
-    """Bytes up to `end`, counted from the connection's first; they were read at `at` or later."""
+    """A read of bytes up to offset `end` of the connection's input, made at time `at` or later."""
 
     end: int
     at: float
 
 
 class ReadTimes:
-    """Times of the reads whose bytes no complete request has used yet."""
+    """Times of reads whose bytes are not part of a complete request yet."""
 
     __slots__ = ("_reads", "_total")
 
@@ -27,9 +27,10 @@
         self._reads: deque[Read] = deque()
 
     def add(self, size: int, at: float, *, behind_request: bool) -> None:
-        """Adds a read. `behind_request`: it follows a complete request that is not answered yet.
+        """Adds a read of `size` bytes at time `at`.
 
-        Otherwise all bytes before it belong to the request that it continues, and only its own time counts.
+        `behind_request`: whether they follow a complete request that is not answered yet. Otherwise all bytes
+        before them belong to the request that they continue, and only the time of this read counts.
         """
         self._total += size
         if not behind_request:
@@ -40,7 +41,7 @@
             self._reads.append(Read(self._total, at))
 
     def last_byte_read_at(self, bytes_behind: int) -> float | None:
-        """When the last byte of a complete request was read, with `unused` bytes behind it."""
+        """When the last byte of a complete request was read; `bytes_behind` further bytes follow it."""
         end = self._total - bytes_behind
         while len(self._reads) > 1 and self._reads[0].end < end:
             self._reads.popleft()
--- a/violetstack/net/downstream/response_handle.py
+++ b/violetstack/net/downstream/response_handle.py
@@ -1,4 +1,4 @@
-"""A front's access to the connection that asked, valid for one request."""
+"""A front's access to the client connection of one request."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class ResponseHandle:
-    """Answers one request; calls after its final answer, or after the client has gone, have no effect.
+    """Answers one request; calls after the final answer, or after the client is gone, have no effect.
 
-    It lets go of the connection with the final answer, so that a request that is kept longer does not keep
-    the connection in memory.
+    It drops its reference to the connection with the final answer, so that a request that is kept longer does
+    not keep the connection in memory.
     """
 
     def __init__(self, connection: DownstreamConnection) -> None:
@@ -28,30 +28,30 @@
 
     @property
     def gone(self) -> bool:
-        """Whether the request is answered, or its client has closed the connection."""
+        """Whether the request was answered or its client has closed the connection."""
         return self._connection is None or self._connection.client_has_closed()
 
     @property
     def client(self) -> Client | None:
-        """The connection, for a stream that another process goes on with; None once it is answered."""
+        """The connection, to migrate its stream to another process; None once the request was answered."""
         return self._connection
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """A complete response."""
+        """Sends a complete response."""
         self._finish(lambda connection: connection.answer(status, headers, body))
 
     def stream(self, status: int, headers: Headers) -> None:
-        """The head of a streamed response."""
+        """Sends the head of a streamed response."""
         if self._connection is not None:
             self._connection.stream_head(status, headers)
 
     def data(self, data: memoryview | bytes) -> None:
-        """A part of a streamed response's body."""
+        """Sends a part of a streamed response's body."""
         if self._connection is not None:
             self._connection.data(data)
 
     def end(self) -> None:
-        """The regular end of a streamed response."""
+        """Ends a streamed response regularly."""
         self._finish(lambda connection: connection.end())
 
     def cut(self) -> None:
@@ -59,16 +59,16 @@
         self._finish(lambda connection: connection.cut())
 
     def attach(self, request: OpenRequest) -> None:
-        """From here on the core is notified when this client disconnects."""
+        """From now on the core is notified if this client disconnects."""
         if self._connection is not None:
             self._connection.request = request
 
     def connection_lost(self) -> None:
-        """The connection is closed: nothing can be answered any more."""
+        """Called when the connection is closed: further calls have no effect."""
         self._connection = None
 
     async def wait_writable(self) -> None:
-        """Returns once the client has read enough of what was written."""
+        """Returns once the client has read enough of the output."""
         if self._connection is not None:
             await self._connection.wait_writable()
 
--- a/violetstack/net/downstream/socket_state.py
+++ b/violetstack/net/downstream/socket_state.py
@@ -1,4 +1,4 @@
-"""What a client's socket tells without being read."""
+"""The state of a client's socket, determined without reading from it."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from violetstack.net.transient_errors import is_readable
 
 PEER_END_POLL_S = 0.02
-"""Bytes that are left unread in the socket hide the peer's end; it is looked for this often."""
+"""Interval of checks for the peer's close while unread bytes keep the socket readable."""
 
 
 def tcp_stream(stream: trio.abc.Stream) -> trio.SocketStream | None:
-    """The TCP connection, also below TLS; None for streams without a socket."""
+    """The TCP stream, also that below TLS; None for streams without a socket."""
     transport = stream.transport_stream if isinstance(stream, trio.SSLStream) else stream
     return transport if isinstance(transport, trio.SocketStream) else None
 
 
 def peer_has_closed(stream: trio.abc.Stream) -> bool:
-    """Whether the peer has closed the open stream, or ended its sending, even behind unread bytes.
+    """Whether the peer has closed the open stream or its sending side, even behind unread bytes.
 
-    Reading alone shows the end only after all bytes before it: a request and the close behind it may both
-    have waited in the kernel's queue while the listener had no room, or while this process was busy.
+    Reading shows the close only after all bytes before it: a request and the close behind it may both have
+    waited in the kernel's queue while the listener had no room or this process was busy.
     """
     transport = tcp_stream(stream)
     if transport is None:
@@ -32,18 +32,18 @@
     poll.register(transport.socket, select.POLLRDHUP)
     try:
         return bool(poll.poll(0))
-    except OSError:  # the system lacks memory for the call: the peer counts as there, and is looked at again
+    except OSError:  # no memory for the call: the peer is assumed connected, and checked again later
         return False
 
 
 def has_unread(stream: trio.abc.Stream) -> bool:
-    """Whether bytes, or the peer's end, wait in the socket of the open stream."""
+    """Whether unread bytes or the peer's close wait in the socket of the open stream."""
     transport = tcp_stream(stream)
     return transport is not None and is_readable(transport.socket, if_unknown=True)
 
 
 async def wait_for_peer_end(stream: trio.abc.Stream) -> None:
-    """Returns once the peer has closed the stream; what it sends is left unread in the socket."""
+    """Returns once the peer has closed the stream; its input is left unread in the socket."""
     transport = tcp_stream(stream)
     while transport is not None and not peer_has_closed(transport):
         if is_readable(transport.socket, if_unknown=True):
--- a/violetstack/net/downstream/write_queue.py
+++ b/violetstack/net/downstream/write_queue.py
@@ -1,4 +1,4 @@
-"""Bytes of responses on their way to one client, with backpressure towards the model host."""
+"""Queue of response bytes to one client, with backpressure towards the model host."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from violetstack.net.transient_errors import send_all
 
 HIGH_WATER_BYTES = 64 * 1024
-"""Above this much unwritten output the model host's stream is read no further."""
+"""With more unwritten output than this, reading of the model host's stream stops."""
 MAX_WRITE_BYTES = 32 * 1024
 """Small parts are joined into writes of at most this size."""
 WRITE_TIMEOUT_S = 20.0
-"""A client that reads nothing for this long counts as disconnected."""
+"""A client that reads nothing for this long is treated as disconnected."""
 
 
 class WriteQueue:
-    """Output of one connection: filled without waiting, drained by one writing task."""
+    """Output of one connection, filled without waiting and written by one task."""
 
     __slots__ = ("_changed", "_drained", "_flushed", "_parts", "pending_bytes")
 
@@ -37,7 +37,7 @@
         self.wake()
 
     def wake(self) -> None:
-        """Lets the writing task look at its connection's state again."""
+        """Makes the writing task check the state of its connection again."""
         self._changed.set()
 
     def release_waiters(self) -> None:
@@ -45,7 +45,7 @@
         self._drained.set()
 
     async def wait_writable(self) -> None:
-        """Returns once at most `HIGH_WATER_BYTES` wait to be written."""
+        """Returns once at most `HIGH_WATER_BYTES` are unwritten."""
         if self.pending_bytes > HIGH_WATER_BYTES:
             self._drained = trio.Event()
             await self._drained.wait()
@@ -56,18 +56,22 @@
         self.wake()
 
     async def wait_flushed(self) -> None:
-        """Returns once nothing waits to be written."""
+        """Returns once all output is written."""
         if self.pending_bytes:
             await self._flushed.wait()
 
     async def wait_for_output(self) -> None:
-        """For the writing task, once it has written everything: returns when there may be more."""
+        """Called by the writing task once all output is written; returns when there may be more."""
         self._flushed.set()
         self._changed = trio.Event()
         await self._changed.wait()
 
     async def write_all(self, stream: trio.abc.Stream) -> None:
-        """Writes what is queued; raises trio.TooSlowError if the client does not read."""
+        """Writes all queued output.
+
+        Raises:
+            trio.TooSlowError: The client read nothing for `WRITE_TIMEOUT_S`.
+        """
         while self._parts:
             batch = self._next_batch()
             size = sum(len(part) for part in batch)
