--- a/violetstack/policy_api/__init__.py
+++ b/violetstack/policy_api/__init__.py
@@ -1,9 +1,9 @@
-"""The policy's interface: settings, the events that it is given, and the actions that it returns.
+"""The policy's interface: its settings, the events that it handles, and the actions that it returns.
 
-`Router.handle(now, events)` returns the actions that follow from a batch of events. Times are in milliseconds
-of the caller's monotonic clock; names that end in `_ms` are durations, except for `deadline_ms` and
-`started_ms`, which are times. The values of the enums are words of the simulator's wire, of the endpoint list
-or of log lines, and do not change.
+`Router.handle(now, events)` returns the actions for a batch of events. Times are in milliseconds of the
+caller's monotonic clock; names that end in `_ms` are durations, except `deadline_ms` and `started_ms`, which
+are times. The values of the enums are part of the simulator's protocol, of the endpoint list or of log lines,
+and must not change.
 """
 
 from __future__ import annotations
--- a/violetstack/policy_api/actions.py
+++ b/violetstack/policy_api/actions.py
@@ -6,7 +6,7 @@
 
 
 class SendAttempt(msgspec.Struct, frozen=True):
-    """Send an attempt to a host. It times out at `deadline_ms`; 0 is the request's own deadline."""
+    """Send an attempt to a host; it times out at `deadline_ms`, or at the request's deadline if that is 0."""
 
     id: str
     server: str
@@ -34,26 +34,26 @@
 
 
 class RejectRequest(msgspec.Struct, frozen=True):
-    """Answer that the request was rejected and a retry does no harm; 0 gives no advice when."""
+    """Reject the request, which may be retried after `retry_after_ms`; 0 for no advice."""
 
     id: str
     retry_after_ms: float
 
 
 class FailRequest(msgspec.Struct, frozen=True):
-    """Answer that the request failed."""
+    """Answer the request with a failure, which does not invite a retry."""
 
     id: str
 
 
 class MigrateStream(msgspec.Struct, frozen=True):
-    """Resume the stream of the request at another host."""
+    """Resume the request's stream at another host."""
 
     id: str
 
 
 class StartTimer(msgspec.Struct, frozen=True):
-    """Have `TimerFired` with this token after `delay_ms`."""
+    """Send the event `TimerFired` with this token after `delay_ms`."""
 
     delay_ms: float
     token: str
@@ -66,7 +66,7 @@
 
 
 class FetchEndpoints(msgspec.Struct, frozen=True):
-    """Ask discovery for the whole endpoint list."""
+    """Fetch the complete endpoint list from discovery."""
 
 
 class SendHealthCheck(msgspec.Struct, frozen=True):
--- a/violetstack/policy_api/endpoints.py
+++ b/violetstack/policy_api/endpoints.py
@@ -16,10 +16,10 @@
 
 
 class UpdateScope(Enum):
-    """What an endpoint update covers.
+    """What an endpoint update contains.
 
-    A DELTA lists what changed, a SNAPSHOT the whole list. CACHED is a whole list that this process remembered
-    or inherited, and FAILED says that discovery could not be reached.
+    DELTA: the entries that changed. SNAPSHOT: the complete list. CACHED: a complete list that this process
+    stored earlier or inherited. FAILED: nothing; discovery could not be reached.
     """
 
     DELTA = "delta"
@@ -33,11 +33,11 @@
 
     Attributes:
         server: Id of the host.
-        cell: Number of the group of hosts that share a deduplication record and a fast network.
+        cell: Number of its cell, a group of hosts that share deduplication records and a fast network.
         weight: Relative capacity.
         zone: Index of its zone.
         state: Its state in the list.
-        kind: Index of its kind, by which it has a role.
+        kind: Index of its kind, which determines its role.
         started_ms: When it started; None if that was long ago.
     """
 
@@ -51,7 +51,7 @@
 
 
 class EndpointUpdate(msgspec.Struct, frozen=True):
-    """The endpoint list, or a change of it, at a version of discovery's numbering."""
+    """The endpoint list or a change of it; discovery numbers the versions."""
 
     scope: UpdateScope
     endpoints: tuple[Endpoint, ...]
--- a/violetstack/policy_api/events.py
+++ b/violetstack/policy_api/events.py
@@ -1,4 +1,4 @@
-"""Events that the policy is given, and the outcomes of attempts."""
+"""Events that the policy handles, and the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 class AttemptStatus(Enum):
     """How an attempt ended.
 
-    REJECTED: the host was full, or no longer held the state (`AttemptFinished.detail`). CONNECT_FAILED:
-    nothing reached the host. RESET: the connection broke. ALREADY_FINISHED: nothing was sent, since the
-    request was over or the attempt not allowed. PREFILLED: the host holds the state of the prefilled prompt.
-    LOCAL_FAULT: nothing was sent for lack of something on this dispatcher's own machine, such as a
-    descriptor; the host is not to blame.
+    REJECTED: the host was full, or no longer held the prefilled state (`AttemptFinished.detail`).
+    CONNECT_FAILED: nothing reached the host. RESET: the connection broke. ALREADY_FINISHED: nothing was
+    sent, since the request had ended or the attempt was not allowed. PREFILLED: the host holds the state.
+    LOCAL_FAULT: nothing was sent, since this dispatcher's machine lacked a resource such as a file
+    descriptor; the host is not penalized.
     """
 
     OK = "ok"
@@ -35,20 +35,20 @@
 MAY_HAVE_RUN_STATUSES = frozenset(
     {AttemptStatus.ERROR, AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED}
 )
-"""After these, the host may have executed the request."""
+"""After these outcomes, the host may have executed the request."""
 
 FAILURE_STATUSES = frozenset({AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED})
-"""Failures of the host itself; the others come from load."""
+"""Failures of the host itself; other outcomes are caused by load."""
 
 GOSSIPED_STATUSES = FAILURE_STATUSES
-"""Failures that the other dispatchers are told of."""
+"""Failures that are reported to the other dispatchers."""
 
 BLAMED_STATUSES = FAILURE_STATUSES | {AttemptStatus.TIMEOUT, AttemptStatus.REJECTED}
-"""Outcomes that make the policy avoid the host for a while."""
+"""Outcomes for which a host is penalized."""
 
 
 class StreamStarted(msgspec.Struct, frozen=True):
-    """The first event of an attempt's stream arrived, `duration_ms` after it was sent."""
+    """The first event of an attempt's stream arrived, `duration_ms` after the attempt was sent."""
 
     id: str
     server: str
@@ -65,10 +65,10 @@
         attempt: Number of the attempt.
         status: How it ended.
         duration_ms: Time since it was sent.
-        request_finished: Whether the request has its final response.
+        request_finished: Whether the request got its final response.
         detail: After PREFILLED, the prompt tokens that the host found in its cache; after REJECTED, 1 if the
             host no longer held the request's state.
-        load_report: The host's load, in the order of `Settings.load_report_fields`.
+        load_report: Values of the host's load report, in the order of `Settings.load_report_fields`.
     """
 
     id: str
@@ -82,7 +82,7 @@
 
 
 class ReservationResult(msgspec.Struct, frozen=True):
-    """A host has answered whether it reserved a decode slot; `attempt` is the prefill attempt beside it."""
+    """A host accepted or refused a reservation; `attempt` is the number of the prefill attempt."""
 
     id: str
     server: str
@@ -91,19 +91,19 @@
 
 
 class ClientDisconnected(msgspec.Struct, frozen=True):
-    """The client closed its connection, or nothing more is to be done for it."""
+    """The client closed its connection, or its request needs no further work."""
 
     id: str
 
 
 class TimerFired(msgspec.Struct, frozen=True):
-    """A timer of `StartTimer` is due."""
+    """A timer that `StartTimer` started has fired."""
 
     token: str
 
 
 class HealthCheckResult(msgspec.Struct, frozen=True):
-    """A health check ended; the load report is as in `AttemptFinished`."""
+    """A health check ended; `load_report` is as in `AttemptFinished`."""
 
     server: str
     status: AttemptStatus
@@ -112,29 +112,29 @@
 
 
 class GossipReceived(msgspec.Struct, frozen=True):
-    """Another dispatcher, by its number, sent a datagram."""
+    """The dispatcher with the number `peer` sent a datagram."""
 
     peer: int
     payload: bytes
 
 
 class ShutdownStarted(msgspec.Struct, frozen=True):
-    """The process is about to end: requests without a first token are answered while that is possible."""
+    """The process is about to end: requests without a first token must get their final answers now."""
 
 
 class ProcessPaused(msgspec.Struct, frozen=True):
-    """The process did not run for `pause_ms`; the other events of the batch arrived in that time."""
+    """The process did not run for `pause_ms`; the other events of the batch arrived during the pause."""
 
     pause_ms: float
 
 
 class OutlierCheckResult(msgspec.Struct, frozen=True):
-    """The check of a host that failed changed hands or ended.
+    """An outlier check of a host started at another dispatcher or ended.
 
     Attributes:
         server: Id of the host.
-        checked_elsewhere_ms: For how long another dispatcher checks it; 0 if this one does, or none.
-        recovered: Whether the host is well again.
+        checked_elsewhere_ms: For how long another dispatcher checks it; 0 if this one or none does.
+        recovered: Whether the check found that the host has recovered.
     """
 
     server: str
--- a/violetstack/policy_api/requests.py
+++ b/violetstack/policy_api/requests.py
@@ -8,22 +8,22 @@
 
 
 class Route(Protocol):
-    """What the route of a request allows. It is asked at each decision, since pools change meanwhile.
+    """The limits of a request's route. They are queried at each decision, since pools change.
 
     Attributes:
-        max_attempts: Attempts of the request.
+        max_attempts: Limit of the request's attempts.
     """
 
     max_attempts: int
 
     def active_pool(self, now: float) -> str:
-        """Returns the name of the pool in use, or the empty string for all hosts.
+        """Returns the name of the active pool, or the empty string for all hosts.
 
-        Requests of one pool do not wait for those of another.
+        Requests of different pools do not compete for hosts.
         """
 
     def contains(self, server: str, now: float) -> bool:
-        """Returns whether the host is in that pool."""
+        """Returns whether the host is in the active pool."""
 
     def reservation_allowed(self, now: float) -> bool:
         """Returns whether a decode slot may be reserved while the prompt is prefilled."""
@@ -35,26 +35,25 @@
 class Request(msgspec.Struct):
     """A request has arrived.
 
-    Routing sets the route, and the policy of the route may shorten the deadline, before the request is
-    accepted; nothing changes it later. It is not frozen for this one step: a frozen copy costs more than
-    finding the route.
+    Before the request is accepted, routing sets `route` and may shorten `expires_in_ms` by the route's
+    policy; nothing changes it later. It is not frozen because a modified copy would cost more than finding
+    the route.
 
     Attributes:
         id: Unique among the open requests.
         class_index: Index of its class.
         tenant_index: Index of its tenant.
-        session: Id of the conversation that it belongs to.
+        session: Id of its conversation.
         expires_in_ms: Time until its client gives up.
-        expected_answer_ms: Expected duration of the response at the class's inter-token objective, if known.
-        prefix_id: Id of a beginning that its prompt shares with others.
+        expected_answer_ms: Expected duration of the response at the inter-token objective, if known.
+        prefix_id: Id of a prefix that its prompt shares with other prompts.
         prompt_tokens: Length of the prompt.
-        prefix_tokens: Length of that beginning.
+        prefix_tokens: Length of the prefix.
         max_tokens: Limit of the response's length.
-        is_retry: Whether the client repeats a request.
-        is_resumed: Whether the client continues a stream that broke.
-        route: What its route allows. Without a route every host may be chosen, and the settings alone limit
-            the attempts.
-        age_ms: How long it may have waited unread in its socket; `expires_in_ms` is shorter by this already.
+        is_retry: Whether the client retries an earlier request.
+        is_resumed: Whether the client resumes a broken stream.
+        route: Its route. Without one, all hosts are allowed and the settings alone limit the attempts.
+        age_ms: How long it may have waited unread in its socket; already subtracted from `expires_in_ms`.
     """
 
     id: str
