--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -33,7 +33,7 @@
     WriteLog,
 )
 from violetstack.rendezvous import host_score
-from violetstack.tracking.affinity import PREFIX_HOSTS, PrefillAffinity
+from violetstack.tracking.affinity import HOSTS_PER_PREFIX, PrefillAffinity
 
 TIER_SIZE = 40
 PREFILL_HOSTS = tuple(make_endpoint(f"r{i}", 0) for i in range(8))
@@ -297,7 +297,7 @@
 
 
 def first_host(affinity: PrefillAffinity, prefix: str) -> str:
-    hosts = affinity.ranking(prefix)[:PREFIX_HOSTS]
+    hosts = affinity.ranking(prefix)[:HOSTS_PER_PREFIX]
     return min(hosts, key=lambda host: host_score(f"None\n{prefix}", host.name)).name
 
 
--- a/tests/test_lease_node.py
+++ b/tests/test_lease_node.py
@@ -248,10 +248,10 @@
     harness.handle(OutlierCheckResult("r0", 2_000.0, False), OutlierCheckResult("nobody", 2_000.0, False))
     endpoint = harness.endpoint("r0")
     assert endpoint.statistics.avoid_until == 0.0
-    assert not harness.router.outliers.suspects("r0")
+    assert not harness.router.outliers.is_suspect("r0")
     for at in (harness.now, harness.now + 1.0):
         penalize(endpoint, 0.0, at)
-    assert harness.router.outliers.suspects("r0")
+    assert harness.router.outliers.is_suspect("r0")
     endpoint.statistics.penalty.total = 0.0  # its failures no longer cost anything
     harness.handle(OutlierCheckResult("r0", 2_000.0, False), after=2.0)
     sent = []
@@ -260,5 +260,5 @@
         sent.append(harness.actions_of(SendAttempt)[-1].server)
     assert set(sent) == {"r1"}
     harness.handle(OutlierCheckResult("r0", 0.0, True))
-    assert not harness.router.outliers.suspects("r0")
+    assert not harness.router.outliers.is_suspect("r0")
     assert endpoint.statistics.avoid_until == 0.0
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -186,13 +186,13 @@
     harness.handle(TimerFired("tell"), after=25.0)
     assert harness.only_action(SendGossip).payload == told  # all attempts in flight are announced anew
     harness.finish_attempt(request, AttemptStatus.PREFILLED, duration_ms=5050.0)
-    assert not statistics.cost_done.value_at(harness.now)
+    assert not statistics.completed_cost.value_at(harness.now)
     assert not statistics.prefill_times_ms.samples
     harness.handle(ProcessPaused(500.0), after=500.0)  # the decode attempt is in flight now
     harness.start_stream(request)
     assert not statistics.first_token_times_ms.samples
     harness.complete_request()
-    assert statistics.cost_done.value_at(harness.now)
+    assert statistics.completed_cost.value_at(harness.now)
     assert statistics.first_token_times_ms.samples
 
 
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -404,6 +404,6 @@
         cold = make_endpoint("cold", PREFILL, started_ms=harness.now)
         harness.update_endpoints(UpdateScope.SNAPSHOT, *listed, cold, make_endpoint("w1", DECODE))
         admission = harness.router.admission
-        admission.admits_warming(harness.endpoint("cold"), harness.now, is_prefill=True)
+        admission.admits(harness.endpoint("cold"), harness.now, is_prefill=True)
         rates.append(harness.endpoint("cold").statistics.slow_start.rate)
     assert rates[0] <= rates[1] <= 1.2 * rates[0]
--- a/violetstack/daemon/daemon.py
+++ b/violetstack/daemon/daemon.py
@@ -296,7 +296,7 @@
             transport,
             pause_detector,
             is_eligible=self._is_eligible,
-            is_suspect=self.router.outliers.suspects,
+            is_suspect=self.router.outliers.is_suspect,
         )
         receiver = DatagramDemultiplexer(
             self.core,
--- a/violetstack/estimation/__init__.py
+++ b/violetstack/estimation/__init__.py
@@ -1,4 +1,4 @@
-"""Estimators: `decay` has sums and samples that lose weight with age, `prefill_cost` the cost of a prompt.
+"""Estimators: decaying sums and recent samples, statistics of endpoints, prefill cost and slow start.
 
 No I/O, no decisions, and no clock: the caller passes the time.
 """
--- a/violetstack/estimation/decay.py
+++ b/violetstack/estimation/decay.py
@@ -1,6 +1,6 @@
 """Estimators over recent observations: a sum that decays exponentially and a bounded window of samples.
 
-All times are milliseconds of one clock, which the caller chooses and passes in. Nothing is decided here.
+All times are milliseconds of one clock of the caller.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from math import exp
 from typing import NamedTuple
 
-MIN_SAMPLES = 5  # with fewer samples, one outlier would decide a median
-PRIOR_DIVISOR = 6  # a prior weighs, and a rate's span is at least, the time constant divided by this
+MIN_SAMPLES = 5  # with fewer samples, one outlier could determine the median
+PRIOR_DIVISOR = 6  # of the time constant: the weight of a prior, and the shortest span of a rate
 
 
 class DecayingSum:
-    """A sum in which an amount counts exp(-age / tau_ms), as in an exponentially weighted moving average.
+    """A sum in which an amount has the weight exp(-age / tau_ms), as in an exponential moving average.
 
     Attributes:
         total: The sum as it was at `as_of_ms`.
@@ -49,7 +49,7 @@
     def rate_per_ms_with_prior(self, now: float, prior_per_ms: float) -> float:
         """Returns the recent rate of additions, blended with a prior that observations outweigh.
 
-        The prior weighs as much as a `PRIOR_DIVISOR`-th of the time constant, so that a surge right after a
+        The prior weighs as much as observations of tau_ms / PRIOR_DIVISOR, so that a burst right after a
         start is not taken for the steady rate.
         """
         observed_ms = 0.0
@@ -75,7 +75,7 @@
         self._max_age_ms = max_age_ms
 
     def add(self, now: float, value: float) -> None:
-        """Adds a sample observed at `now`; the oldest one goes once the window is full."""
+        """Adds a sample observed at `now`; drops the oldest one if the window is full."""
         self.samples.append(Sample(now, value))
 
     def median(self, now: float) -> float:
@@ -83,15 +83,15 @@
         return self._order_statistic(now, 2, ())
 
     def lower_tercile(self, now: float, unfinished: Iterable[float]) -> float:
-        """Returns the value that a third of the recent samples stay below, or 0 with too few of them.
+        """Returns the value below which a third of the recent samples lie, or 0 with too few of them.
 
-        `unfinished` holds the ages of work that has not ended. An age counts as a sample once it exceeds the
-        tercile of the finished work, since its final value can then only be larger.
+        `unfinished` has the ages of work that has not ended. An age counts as a sample once it exceeds the
+        tercile of finished work, since its final value can only be larger.
         """
         return self._order_statistic(now, 3, unfinished)
 
     def _order_statistic(self, now: float, divisor: int, unfinished: Iterable[float]) -> float:
         values = [sample.value for sample in self.samples if sample.at_ms > now - self._max_age_ms]
-        usual = sorted(values)[len(values) // divisor] if values else 0.0
-        values += [age for age in unfinished if age > usual]
+        quantile = sorted(values)[len(values) // divisor] if values else 0.0
+        values += [age for age in unfinished if age > quantile]
         return sorted(values)[len(values) // divisor] if len(values) >= MIN_SAMPLES else 0.0
--- a/violetstack/handover/learned_state.py
+++ b/violetstack/handover/learned_state.py
@@ -139,7 +139,7 @@
 def _totals(statistics: FleetStatistics) -> dict[str, DecayingSum]:
     """Returns the sums over all endpoints, by their names in the stored snapshot."""
     return {
-        "cleared": statistics.cost_done,
+        "cleared": statistics.completed_cost,
         "busy_ms": statistics.busy_ms,
         "claimed": statistics.cached_tokens_expected,
         "found": statistics.cached_tokens_found,
@@ -182,7 +182,7 @@
     statistics = endpoint.statistics
     return EndpointSnapshot(
         started_ms=endpoint.entry.started_ms,
-        prefill_cost=_capture_sum(statistics.cost_done, now_ms),
+        prefill_cost=_capture_sum(statistics.completed_cost, now_ms),
         busy_ms=_capture_sum(statistics.busy_ms, now_ms),
         failure_penalty=_capture_sum(statistics.penalty, now_ms),
         failure_streak=statistics.consecutive_failures,
@@ -196,7 +196,7 @@
 def _restore_endpoint(
     statistics: EndpointStatistics, snapshot: EndpointSnapshot, captured_at_ms: float
 ) -> None:
-    _restore_sum(statistics.cost_done, snapshot.prefill_cost, captured_at_ms)
+    _restore_sum(statistics.completed_cost, snapshot.prefill_cost, captured_at_ms)
     _restore_sum(statistics.busy_ms, snapshot.busy_ms, captured_at_ms)
     _restore_sum(statistics.penalty, snapshot.failure_penalty, captured_at_ms)
     statistics.consecutive_failures = snapshot.failure_streak
--- a/violetstack/policy/admission.py
+++ b/violetstack/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: rejections under overload, and slow start of endpoints that just started."""
+"""Admission control: load shedding, and slow start of endpoints that started recently."""
 
 from __future__ import annotations
 
@@ -7,70 +7,72 @@
 from violetstack.tracking.request import RequestState
 from violetstack.tracking.state import PolicyState
 
-BASE_PATIENCE = 0.1  # the part of the latency objective that a request of no weight may wait for prefill
-WEIGHTED_PATIENCE = 0.4  # and the part that the full weight adds
-LATE_FROM = 0.6  # lateness from which requests of the full weight are rejected
-MIN_ADMITTED_PART = 0.1  # however late requests are, this part is still admitted
-SLOW_START_MARGIN = 1.25  # over the multiple that the settings tell
-TRICKLE = 1.0  # request in any `overload_window_ms` from the whole tier, where no load is known
+BASE_WAIT_SHARE = 0.1  # share of the latency objective that a request of weight 0 may wait for its prefill
+WEIGHTED_WAIT_SHARE = 0.4  # share that is added for weight 1
+LATENESS_LIMIT = 0.6  # requests of weight 1 are rejected at random above this lateness
+MIN_ADMITTED_SHARE = 0.1  # this share of requests is admitted however late they are
+SLOW_START_MARGIN = 1.25  # factor on `Settings.overload_multiple`
+MIN_REQUESTS_PER_WINDOW = 1.0  # in `overload_window_ms`, from all dispatchers together
 
 
 class Admission:
-    """Says which requests are taken, and what an endpoint in slow start is sent."""
+    """Decides which requests are admitted, and how many requests an endpoint in slow start is sent."""
 
     def __init__(self, state: PolicyState) -> None:
-        """Decide on this state."""
+        """Decides by this state."""
         self._state = state
 
     def priority_weight(self, request: RequestState) -> float:
-        """Value beside the class of the highest; little beyond the tenant's quota at this dispatcher."""
+        """Returns the class's weight relative to the highest, 0 to 1, reduced beyond the tenant's quota."""
         settings = self._state.settings
-        highest = max(each.priority_weight for each in settings.classes)
+        highest = max(spec.priority_weight for spec in settings.classes)
         weight = request.class_settings.priority_weight / highest if highest > 0 else 1.0
         quota = self._state.tenant_quotas.get(request.params.tenant_index)
         if quota is not None and not quota.has_token(self._state.now):
             weight *= settings.over_quota_weight
         return weight
 
-    def sheds(self, request: RequestState, host: TrackedEndpoint) -> bool:
-        """Load shedding: reject early what even the freest host would end too late, low weight first.
+    def rejects(self, request: RequestState, host: TrackedEndpoint) -> bool:
+        """Returns whether to reject the request, since even the freest host would finish it too late.
 
-        Guards against queues in which every prefill ends just after its time, whatever made them: bursts,
-        shared slowness, lost hosts, retries. One prefill of ours at a host is always admitted, so a wrong
-        estimate heals. Could harm when late answers are worth nearly as much as timely ones.
+        Requests of low weight are rejected first. This prevents queues in which every prefill finishes just
+        too late after a burst, a slowdown, a loss of hosts or retries. One prefill of this dispatcher at a
+        host is always admitted, so that wrong estimates are corrected. It could do harm if late answers were
+        worth nearly as much as timely ones.
         """
         state = self._state
         weight = self.priority_weight(request)
-        peers = [other for other in state.requests.values() if other.scope == request.scope]
-        if state.remote_load.active_peers or len(peers) > state.load.prefill_host_count(request, state.now):
+        active = [other for other in state.requests.values() if other.scope == request.scope]
+        if state.remote_load.active_peers or len(active) > state.load.prefill_host_count(request, state.now):
             return self._waits_too_long(request, host, weight)
-        return self._too_many_are_late(request.scope, peers, weight)
+        return self._too_many_are_late(request.scope, active, weight)
 
     def _waits_too_long(self, request: RequestState, host: TrackedEndpoint, weight: float) -> bool:
-        """By the estimated wait at the host."""
+        """Returns whether the estimated wait at the host is too long for this weight."""
         now = self._state.now
         load = self._state.load
         wait_ms = load.prefill_wait_ms(host, request, now) + load.decode_wait_ms(request.scope, now)
-        patience_ms = request.shortest_objective_ms * (BASE_PATIENCE + WEIGHTED_PATIENCE * weight)
-        patience_ms -= now - request.arrived_at
-        return wait_ms > max(0.0, min(request.deadline - now, patience_ms))
+        max_wait_ms = request.shortest_objective_ms * (BASE_WAIT_SHARE + WEIGHTED_WAIT_SHARE * weight)
+        max_wait_ms -= now - request.arrived_at
+        return wait_ms > max(0.0, min(request.deadline - now, max_wait_ms))
 
-    def _too_many_are_late(self, scope: str, peers: list[RequestState], weight: float) -> bool:
-        """At random, by how late requests got their first token of late."""
+    def _too_many_are_late(self, scope: str, active: list[RequestState], weight: float) -> bool:
+        """Draws at random whether to reject, by how late recent requests got their first token."""
         now = self._state.now
-        ages = (other.lateness(now) for other in peers if not other.started)
+        ages = (other.lateness(now) for other in active if not other.started)
         lateness = self._state.statistics.lateness_of(scope).lower_tercile(now, ages)
-        admitted_part = 2.0 - lateness / (LATE_FROM * (0.5 + 0.5 * weight))
-        return self._state.rng.random() > max(MIN_ADMITTED_PART, admitted_part)
+        admitted_share = 2.0 - lateness / (LATENESS_LIMIT * (0.5 + 0.5 * weight))
+        return self._state.rng.random() > max(MIN_ADMITTED_SHARE, admitted_share)
 
-    def admits_warming(self, endpoint: TrackedEndpoint, now: float, *, is_prefill: bool) -> bool:
-        """Rule 4: may an endpoint be sent one more request? Always, once it is warm.
+    def admits(self, endpoint: TrackedEndpoint, now: float, *, is_prefill: bool) -> bool:
+        """Rule 4: returns whether an endpoint may be sent another request; always true once it is warm.
 
-        While it warms up, all dispatchers together keep within the settings' multiple of what it can do in
-        any `overload_window_ms`; `docs/fleet.md` has the arithmetic. Each keeps its own part, by what an
-        endpoint of that stage took from it, so that the sum needs no word from others. A dispatcher that saw
-        little goes by its part of half of what the tenants may send, so that the sum is the same whether one
-        or all start; without tenants, by a trickle. Could harm where endpoints run above 0.8 of capacity.
+        During its warm-up, all dispatchers together send it at most `overload_multiple` times what it can
+        process in any `overload_window_ms`; docs/fleet.md has the arithmetic. Each dispatcher limits its own
+        part by the usual rate of its requests at endpoints of that stage, without communication. One with few
+        observations uses its part of half the tenants' quotas, so that the sum is the same whether one or all
+        have just started; without tenants, MIN_REQUESTS_PER_WINDOW. It could do harm where endpoints run
+        above 0.8 of capacity.
         """
         state = self._state
         settings = state.settings
@@ -80,9 +82,9 @@
             return True
         statistics = state.statistics
         pool_size = len(state.endpoints.pool(is_prefill=is_prefill))
-        sharing = max(1.0, pool_size, statistics.usual_pool_size(now, is_prefill=is_prefill))
-        usual = statistics.requests_per_ms(now, is_prefill=is_prefill) * window_ms / sharing
+        host_count = max(1.0, pool_size, statistics.usual_pool_size(now, is_prefill=is_prefill))
+        usual = statistics.requests_per_ms(now, is_prefill=is_prefill) * window_ms / host_count
         allowed = SLOW_START_MARGIN * settings.overload_multiple * fraction * usual
         bucket = endpoint.statistics.slow_start
-        bucket.set_limit(max(allowed, TRICKLE / settings.dispatcher_count), window_ms)
+        bucket.set_limit(max(allowed, MIN_REQUESTS_PER_WINDOW / settings.dispatcher_count), window_ms)
         return bucket.has_token(now) and not endpoint.reservations
--- a/violetstack/policy/decode_slots.py
+++ b/violetstack/policy/decode_slots.py
@@ -1,4 +1,4 @@
-"""Decode slots that are reserved while a request is prefilled."""
+"""Reservation of decode slots while requests are prefilled."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from violetstack.tracking.request import RequestState
 from violetstack.tracking.state import PolicyState
 
-MAX_HOSTS_ASKED = 3  # decode hosts asked for a slot during one prefill
+MAX_HOSTS_TRIED = 3  # reservation attempts during one prefill
 
 
 class DecodeSlots:
-    """Reserves a decode slot for a request, at one host after another."""
+    """Reserves a decode slot for a request, trying one host after another."""
 
     def __init__(self, state: PolicyState, placement: Placement, tracker: InFlightTracker) -> None:
-        """Reserve at the hosts that `placement` chooses."""
+        """Reserves at the hosts that `placement` chooses."""
         self._state = state
         self._placement = placement
         self._tracker = tracker
 
     def reserve(self, request: RequestState, prefill_host: TrackedEndpoint) -> None:
-        """Ask the freest decode host that was not asked yet."""
-        if len(request.slot.hosts_asked) >= MAX_HOSTS_ASKED:
+        """Requests a slot at the freest decode host that has not been tried."""
+        if len(request.slot.hosts_tried) >= MAX_HOSTS_TRIED:
             return
         host = self._placement.choose_decode_host(request, prefill_host)
         if host is None:
@@ -32,10 +32,9 @@
         self._state.act(ReserveDecodeSlot(request.id, host.name))
 
     def on_result(self, event: ReservationResult) -> None:
-        """A decode host answered: the slot is reserved, or the next host is asked.
+        """Records the result of a reservation, and tries the next host if it was refused.
 
-        The event comes with the prefill attempt and names that attempt's host, so it is about the
-        latest slot.
+        The event names the prefill attempt and its host, so it applies to the latest slot.
         """
         request = self._state.requests.get(event.id)
         if request is None or request.slot.host is None or event.attempt not in request.in_flight:
--- a/violetstack/policy/endpoint_changes.py
+++ b/violetstack/policy/endpoint_changes.py
@@ -1,4 +1,4 @@
-"""What follows from a change of the endpoint list."""
+"""Consequences of a change of the endpoint list."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class EndpointChanges:
-    """Follows the endpoint list, and moves work off endpoints that drain or are removed."""
+    """Applies changes of the endpoint list, and moves work away from draining and removed endpoints."""
 
     def __init__(self, state: PolicyState, slots: DecodeSlots, tracker: InFlightTracker) -> None:
-        """Change this state's endpoints."""
+        """Changes the endpoints of this state."""
         self._state = state
         self._slots = slots
         self._tracker = tracker
 
     def on_update(self, update: EndpointUpdate) -> None:
-        """The list changed."""
+        """Applies a change of the list."""
         state = self._state
         restarted = state.endpoints.apply(update, state.now)
         for endpoint in state.endpoints.by_name.values():
@@ -28,9 +28,9 @@
         state.endpoints.discard_removed()
 
     def _evacuate(self, endpoint: TrackedEndpoint) -> None:
-        """Rule 3: nothing new goes there, nor by a slot of its last run. Prefills of removed hosts end."""
+        """Rule 3: drops the reservations there, and cancels prefills at a removed host."""
         state = self._state
-        holders = [state.requests[name] for name in endpoint.reservations if name in state.requests]
+        holders = [state.requests[id_] for id_ in endpoint.reservations if id_ in state.requests]
         for request in holders:
             self._tracker.drop_reservation(request)
             if not request.done and request.in_flight:
--- a/violetstack/policy/freeness.py
+++ b/violetstack/policy/freeness.py
@@ -1,4 +1,4 @@
-"""Virtual Freeness: the headroom of prefill and decode hosts, less the penalties for failures."""
+"""Virtual Freeness: the headroom of prefill and decode hosts minus their penalties for failures."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from violetstack.tracking.request import RequestState
 from violetstack.tracking.state import PolicyState
 
-NEAR_BEST = 0.1  # freeness within this of the best counts as equal (the design page)
+NEAR_BEST = 0.1  # hosts within this of the highest freeness count as equal (docs/design.md)
 
 
 class Freeness:
-    """Computes freeness: 1 for an idle host, 0 at its budget, negative beyond."""
+    """Computes freeness: 1 for an idle host, 0 at its budget, negative above it."""
 
     def __init__(self, state: PolicyState) -> None:
-        """Compute from this state."""
+        """Computes from this state."""
         self._state = state
 
     def of_prefill_hosts(
         self, hosts: Iterable[TrackedEndpoint], request: RequestState, now: float
     ) -> dict[str, float]:
-        """Freeness with this request added, by host name.
+        """Returns the freeness of each host with this request added, by host name.
 
-        One minus the prefill cost in flight over a budget: the latency objective times the host's speed.
+        It is 1 - cost / budget: the prefill cost in flight over the latency objective times the host's speed.
         """
         load = self._state.load
         average_speed = self._state.statistics.average_speed(now)
@@ -39,11 +39,12 @@
         return freeness
 
     def of_decode_hosts(self, hosts: Iterable[TrackedEndpoint], now: float) -> dict[str, float]:
-        """Memory headroom, by host name.
+        """Returns the memory headroom of each host, by host name.
 
-        One minus the reported share of memory and the tokens that have come since the report. An old report
-        fades towards the average, from which a host differs by what is in flight there. One that never
-        reported goes by tokens alone, with those of dispatchers that are not heard extrapolated.
+        It is 1 - used share - new tokens / memory size, where new tokens were sent after the report. As a
+        report ages, it is replaced by the average of all hosts, and all tokens in flight beyond the average
+        count as new. For a host without a report, the tokens in flight are extrapolated to dispatchers whose
+        gossip is not received.
         """
         load = self._state.load
         averages = load.decode_averages()
@@ -57,8 +58,8 @@
             else:
                 weight = memory.weight(now)
                 share = averages.share + weight * (memory.share - averages.share)
-                tokens_then = averages.tokens + weight * (memory.tokens_at_report - averages.tokens)
-                new_tokens = tokens - tokens_then
+                tokens_before = averages.tokens + weight * (memory.tokens_at_report - averages.tokens)
+                new_tokens = tokens - tokens_before
             headroom = 1.0 - share - new_tokens / host.memory_tokens(now)
             freeness[host.name] = headroom - host.statistics.penalty.value_at(now)
         return freeness
--- a/violetstack/policy/outliers.py
+++ b/violetstack/policy/outliers.py
@@ -1,11 +1,11 @@
-"""Outlier detection: what failures cost an endpoint, those that other dispatchers met included."""
+"""Outlier detection: penalties for failures here and at other dispatchers."""
 
 from __future__ import annotations
 
 from violetstack.policy.freeness import NEAR_BEST
 from violetstack.policy_api import (
-    BLAMED_STATUSES,
     GOSSIPED_STATUSES,
+    PENALIZED_STATUSES,
     AttemptFinished,
     GossipReceived,
     OutlierCheckResult,
@@ -13,42 +13,42 @@
 from violetstack.tracking.endpoint import TrackedEndpoint
 from violetstack.tracking.gossip_receiver import GossipReceiver
 from violetstack.tracking.gossip_sender import GossipSender
-from violetstack.tracking.outcomes import lost_state
+from violetstack.tracking.outcomes import state_was_lost
 from violetstack.tracking.request import Attempt
 from violetstack.tracking.state import PolicyState
 
-MAX_DOUBLINGS = 6  # of the penalty, by failures in a row
-SUSPECT_FROM = 2  # failures in a row from which another dispatcher's check counts
+MAX_DOUBLINGS = 6  # of the penalty, one for each consecutive failure
+SUSPECT_FROM = 2  # consecutive failures from which an endpoint is avoided during an outlier check
 
 
 def penalize(endpoint: TrackedEndpoint, cost: float, now: float) -> None:
-    """Take a failure's cost in freeness off the endpoint's, and twice that for each further one in a row.
+    """Subtracts a failure's cost from the endpoint's freeness, doubled for each consecutive failure.
 
-    Guards against endpoints that fail fast and so look free, always or now and then; also against hung, dead
-    and unreachable ones. Harms an endpoint whose requests were at fault: then all are penalized alike and the
-    least penalized still serves. What fails in one batch (a connection is cut) is one failure, and
-    costs `NEAR_BEST` at least.
+    Otherwise endpoints that fail fast would look free; it also covers hung, dead and unreachable ones. If the
+    requests were at fault, all endpoints are penalized alike, and the least penalized is still used. Failures
+    in one batch of events, such as those of a broken connection, count once. The cost is at least
+    `NEAR_BEST`.
     """
-    learned = endpoint.statistics
-    if now == learned.last_failure_at:
+    statistics = endpoint.statistics
+    if now == statistics.last_failure_at:
         return
-    learned.last_failure_at = now
-    learned.consecutive_failures = min(MAX_DOUBLINGS, learned.consecutive_failures + 1)
-    learned.penalty.add(now, max(NEAR_BEST, cost) * 2.0**learned.consecutive_failures)
+    statistics.last_failure_at = now
+    statistics.consecutive_failures = min(MAX_DOUBLINGS, statistics.consecutive_failures + 1)
+    statistics.penalty.add(now, max(NEAR_BEST, cost) * 2.0**statistics.consecutive_failures)
 
 
 class OutlierDetection:
-    """Penalizes endpoints for failures, and leaves alone those that another dispatcher checks."""
+    """Penalizes endpoints for failures, and avoids those that another dispatcher checks."""
 
     def __init__(self, state: PolicyState, gossip: GossipSender) -> None:
-        """Nothing failed yet; failures of ours go out by `gossip`."""
+        """Starts without failures; failures seen here are sent by `gossip`."""
         self._state = state
         self._gossip = gossip
         self._gossip_receiver = GossipReceiver(state, gossip)
 
     def on_attempt_finished(self, attempt: Attempt, event: AttemptFinished) -> None:
-        """A failure before the first token costs what the attempt took of its host's budget."""
-        if event.status not in BLAMED_STATUSES or attempt.started or lost_state(event):
+        """Penalizes a failure before the first token by the share of the host's budget that it used."""
+        if event.status not in PENALIZED_STATUSES or attempt.started or state_was_lost(event):
             return
         now = self._state.now
         load = self._state.load
@@ -63,26 +63,26 @@
             self._gossip.add_failure(endpoint)
 
     def on_gossip(self, event: GossipReceived) -> None:
-        """An endpoint that failed another dispatcher has failed all."""
+        """Penalizes endpoints whose failure another dispatcher reports."""
         for endpoint in self._gossip_receiver.receive(event):
             penalize(endpoint, 0.0, self._state.now)
 
     def on_outlier_check(self, event: OutlierCheckResult) -> None:
-        """One dispatcher checks an endpoint that failed, and the others leave it alone for so long.
+        """Avoids an endpoint while another dispatcher checks it, and clears its penalty once it recovered.
 
-        Its word ejects nothing by itself: two failures have to be known here, ours or told by others.
+        A check alone has no effect: SUSPECT_FROM consecutive failures must be known here, own or reported.
         """
         endpoint = self._state.endpoints.by_name.get(event.server)
         if endpoint is None:
             return
-        learned = endpoint.statistics
+        statistics = endpoint.statistics
         if event.recovered:
-            learned.clear_penalty()
-            learned.consecutive_failures = 0
-        suspect = learned.consecutive_failures >= SUSPECT_FROM
-        learned.avoid_until = self._state.now + event.checked_elsewhere_ms if suspect else 0.0
+            statistics.clear_penalty()
+            statistics.consecutive_failures = 0
+        is_suspect = statistics.consecutive_failures >= SUSPECT_FROM
+        statistics.avoid_until = self._state.now + event.checked_elsewhere_ms if is_suspect else 0.0
 
-    def suspects(self, name: str) -> bool:
-        """Did the endpoint fail so often in a row that it should be checked?"""
+    def is_suspect(self, name: str) -> bool:
+        """Returns whether the endpoint had so many consecutive failures that it should be checked."""
         endpoint = self._state.endpoints.by_name.get(name)
         return endpoint is not None and endpoint.statistics.consecutive_failures >= SUSPECT_FROM
--- a/violetstack/policy/placement.py
+++ b/violetstack/policy/placement.py
@@ -1,4 +1,4 @@
-"""The choice of a host for each stage, by freeness."""
+"""Choice of a host for each stage, by freeness."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     """Chooses prefill and decode hosts."""
 
     def __init__(self, state: PolicyState, freeness: Freeness, admission: Admission) -> None:
-        """Choose among the hosts of this state."""
+        """Chooses among the hosts of this state."""
         self._state = state
         self._freeness = freeness
         self._admission = admission
 
     def candidates(self, request: RequestState, *, is_prefill: bool) -> list[TrackedEndpoint]:
-        """Hosts that may be sent the request; if any, those without a failure of it and not being checked."""
+        """Returns the allowed hosts; those that failed the request or are avoided only if none else is."""
         now = self._state.now
         pool = self._state.endpoints.pool(is_prefill=is_prefill)
-        warm = [host for host in pool if self._admission.admits_warming(host, now, is_prefill=is_prefill)]
+        warm = [host for host in pool if self._admission.admits(host, now, is_prefill=is_prefill)]
         allowed = [
             host for host in warm if may_retry_at(request, host, now) and request.route_allows(host, now)
         ]
@@ -35,7 +35,7 @@
         return untried or allowed
 
     def choose_prefill_host(self, request: RequestState) -> TrackedEndpoint | None:
-        """Highest freeness, even if negative; among near-best the session's last host, else by affinity."""
+        """Chooses by freeness, even if negative; near the best the session's last host, else by affinity."""
         hosts = self.candidates(request, is_prefill=True)
         if not hosts:
             return None
@@ -52,9 +52,9 @@
     def choose_decode_host(
         self, request: RequestState, prefill_host: TrackedEndpoint | None
     ) -> TrackedEndpoint | None:
-        """Highest memory headroom; among near-best the prefill host's cell, then its zone, then at random."""
+        """Chooses by memory headroom; near the best by the prefill host's cell, then zone, then at random."""
         candidates = self.candidates(request, is_prefill=False)
-        hosts = [host for host in candidates if host not in request.slot.hosts_asked]
+        hosts = [host for host in candidates if host not in request.slot.hosts_tried]
         if not hosts:
             return None
         state = self._state
@@ -62,10 +62,10 @@
         threshold = max(freeness.values()) - NEAR_BEST
 
         def rank(host: TrackedEndpoint) -> tuple[bool, int, float, float]:
-            draw = state.rng.random()
+            tie_breaker = state.rng.random()
             if freeness[host.name] < threshold:
-                return (False, 0, freeness[host.name], draw)
-            closeness = 0 if prefill_host is None else host.closeness(prefill_host)
-            return (True, closeness, draw, freeness[host.name])
+                return (False, 0, freeness[host.name], tie_breaker)
+            proximity = 0 if prefill_host is None else host.proximity(prefill_host)
+            return (True, proximity, tie_breaker, freeness[host.name])
 
         return max(hosts, key=rank)
--- a/violetstack/policy/router.py
+++ b/violetstack/policy/router.py
@@ -1,4 +1,4 @@
-"""The policy's entry point: events in, actions out. The clock and the seed are handed in."""
+"""The entry point of the policy: takes events and returns actions; clock and seed are parameters."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
 
 
 class Router:
-    """One dispatcher's decisions.
+    """The policy of one dispatcher.
 
     Attributes:
-        state: what the policy knows; a successor process recalls the learned part of it.
-        freeness: how the hosts compare.
-        admission: what may be sent.
-        outliers: which endpoints failed of late.
+        state: the policy's state; its learned part is handed over to a successor process.
+        freeness: computes the hosts' freeness.
+        admission: decides what may be sent.
+        outliers: tracks endpoints that failed recently.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Start with no requests and no endpoints."""
+        """Starts without requests and endpoints."""
         self.state = PolicyState(settings)
         self.freeness = Freeness(self.state)
         self.admission = Admission(self.state)
@@ -69,7 +69,7 @@
         self._started = False
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
-        """Decide on events that came together; times in milliseconds of one clock that never goes back."""
+        """Returns the actions for a batch of events; `now` is in milliseconds of a monotonic clock."""
         self.state.begin_batch(now)
         if not self._started:
             self._started = True
--- a/violetstack/policy_api/__init__.py
+++ b/violetstack/policy_api/__init__.py
@@ -26,10 +26,10 @@
 )
 from violetstack.policy_api.endpoints import Endpoint, EndpointState, EndpointUpdate, UpdateScope
 from violetstack.policy_api.events import (
-    BLAMED_STATUSES,
     FAILURE_STATUSES,
     GOSSIPED_STATUSES,
     MAY_HAVE_RUN_STATUSES,
+    PENALIZED_STATUSES,
     AttemptFinished,
     AttemptStatus,
     ClientDisconnected,
@@ -57,7 +57,6 @@
     "Action",
     "AttemptFinished",
     "AttemptStatus",
-    "BLAMED_STATUSES",
     "CancelAttempt",
     "ClassSettings",
     "ClientDisconnected",
@@ -76,6 +75,7 @@
     "MAY_HAVE_RUN_STATUSES",
     "MigrateStream",
     "OutlierCheckResult",
+    "PENALIZED_STATUSES",
     "ProcessPaused",
     "RejectRequest",
     "ReleaseState",
--- a/violetstack/policy_api/events.py
+++ b/violetstack/policy_api/events.py
@@ -43,7 +43,7 @@
 GOSSIPED_STATUSES = FAILURE_STATUSES
 """Failures that are reported to the other dispatchers."""
 
-BLAMED_STATUSES = FAILURE_STATUSES | {AttemptStatus.TIMEOUT, AttemptStatus.REJECTED}
+PENALIZED_STATUSES = FAILURE_STATUSES | {AttemptStatus.TIMEOUT, AttemptStatus.REJECTED}
 """Outcomes for which a host is penalized."""
 
 
--- a/violetstack/tracking/affinity.py
+++ b/violetstack/tracking/affinity.py
@@ -1,7 +1,8 @@
-"""Which prefill hosts are likely to have a prompt cached.
+"""Affinity of prompts to the prefill hosts that are likely to have them cached.
 
-The hosts are ranked by rendezvous hashing of the prompt's shared prefix, or of its session, so that all
-dispatchers agree without talking; beside that each remembers the last prefill host of its sessions.
+Hosts are ranked by rendezvous hashing of the prompt's shared prefix, or of its session, so that all
+dispatchers agree without communication. In addition, each dispatcher remembers the last prefill host of its
+sessions.
 """
 
 from __future__ import annotations
@@ -11,27 +12,27 @@
 from violetstack.tracking.endpoint import TrackedEndpoint
 from violetstack.tracking.request import RequestState
 
-PREFIX_HOSTS = 3  # hosts over which the sessions of one shared prefix are spread
+HOSTS_PER_PREFIX = 3  # the sessions of one shared prefix are spread over this many hosts
 MAX_SESSIONS = 4_000
 MAX_RANKINGS = 1_000
 
 
 class PrefillAffinity:
-    """Rankings of the prefill hosts, and the last host of each session; both bounded in number."""
+    """Rankings of the prefill hosts, and the last host of each session; both are bounded in number."""
 
     def __init__(self) -> None:
-        """No hosts and no sessions are known."""
+        """Starts without hosts and sessions."""
         self._hosts: list[TrackedEndpoint] = []
         self._rankings: dict[str, list[TrackedEndpoint]] = {}
         self._last_host: dict[str, str] = {}
 
     def set_hosts(self, hosts: list[TrackedEndpoint]) -> None:
-        """Rank these from now on."""
+        """Sets the hosts to rank."""
         self._hosts = hosts
         self._rankings = {}
 
     def ranking(self, key: str) -> list[TrackedEndpoint]:
-        """The prefill hosts in the order of a hash with this key, the same at every dispatcher."""
+        """Returns the prefill hosts ranked by their scores for this key, alike at every dispatcher."""
         if key not in self._rankings:
             if len(self._rankings) > MAX_RANKINGS:
                 self._rankings = {}
@@ -39,36 +40,36 @@
         return self._rankings[key]
 
     def preferred_hosts(self, request: Request) -> list[TrackedEndpoint]:
-        """All prefill hosts, those first where every dispatcher sends this prompt.
+        """Returns all prefill hosts, first those to which every dispatcher sends this prompt.
 
-        A session comes to many dispatchers, so what one of them remembers of it is not enough; and one host
-        for each prefix is too few where the prefix is hot. So a prefix has a few hosts, and the session says
-        which of these comes first. Could harm where hosts cache little text.
+        The requests of a session arrive at many dispatchers, so the memory of one dispatcher is not enough;
+        and a single host would be overloaded by a hot prefix. So a prefix has HOSTS_PER_PREFIX hosts, and the
+        session selects the first of them. It could do harm where hosts cache little text.
         """
         if request.prefix_id is None:
             return self.ranking(request.session or request.id)
         ranking = self.ranking(request.prefix_id)
         session_key = f"{request.session}\n{request.prefix_id}"
-        first = sorted(ranking[:PREFIX_HOSTS], key=lambda host: host_score(session_key, host.name))
-        return first + ranking[PREFIX_HOSTS:]
+        first = sorted(ranking[:HOSTS_PER_PREFIX], key=lambda host: host_score(session_key, host.name))
+        return first + ranking[HOSTS_PER_PREFIX:]
 
     def remember(self, session: str, host: str) -> None:
-        """The session's prompt was processed at this host."""
+        """Records the host that prefilled the session's latest prompt."""
         self._last_host.pop(session, None)
         self._last_host[session] = host
         if len(self._last_host) > MAX_SESSIONS:
             del self._last_host[next(iter(self._last_host))]
 
     def last_host(self, session: str | None) -> str | None:
-        """The session's last prefill host at this dispatcher."""
+        """Returns the last prefill host that this dispatcher used for the session."""
         return self._last_host.get(session or "")
 
     def expected_cached_tokens(self, endpoint: TrackedEndpoint, request: RequestState) -> float:
-        """Prompt tokens that the endpoint is likely to have cached, by its rank and the session's past."""
+        """Returns how many prompt tokens are likely to be cached there, by rank and last host."""
         params = request.params
         if endpoint.name == self._last_host.get(params.session or ""):
             return params.prompt_tokens
         preferred = request.preferred_hosts
         if params.session is not None and preferred and preferred[0] is endpoint:
             return params.prompt_tokens
-        return params.prefix_tokens if params.prefix_id and endpoint in preferred[:PREFIX_HOSTS] else 0.0
+        return params.prefix_tokens if params.prefix_id and endpoint in preferred[:HOSTS_PER_PREFIX] else 0.0
--- a/violetstack/tracking/endpoint.py
+++ b/violetstack/tracking/endpoint.py
@@ -1,73 +1,73 @@
-"""The record of one endpoint: its entry in the list, the load it has from here and what was learned of it."""
+"""The record of one endpoint: its list entry, its load from this dispatcher, and its statistics."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from violetstack.estimation.statistics import PRIOR_MS, EndpointStatistics
+from violetstack.estimation.statistics import SPEED_PRIOR_MS, EndpointStatistics
 from violetstack.gossip.codec import endpoint_tag
 from violetstack.policy_api import Endpoint, EndpointState, Role
 from violetstack.tracking.request import Attempt
 
 
 class EndpointKind(NamedTuple):
-    """What the settings say of endpoints of one kind."""
+    """The settings for endpoints of one kind."""
 
     role: Role
     memory_tokens: float
 
 
 class TrackedEndpoint:
-    """One endpoint as this dispatcher knows it."""
+    """One endpoint from the view of this dispatcher."""
 
     def __init__(self, entry: Endpoint, kind: EndpointKind, jitter: float, now: float) -> None:
-        """Start with nothing in flight and nothing learned.
+        """Starts without load and statistics.
 
         Args:
-            entry: as the endpoint list has it.
-            kind: what the settings say of it.
-            jitter: random, 0 to 1; staggers the dispatchers' slow start.
+            entry: its entry in the endpoint list.
+            kind: the settings of its kind.
+            jitter: random, 0 to 1; staggers the slow start between dispatchers.
             now: milliseconds.
         """
         self.name = entry.server
         self.set_entry(entry, kind)
         self.usable = True
         self.gossip_tag = endpoint_tag(entry.server)
-        self.gossiped_code = 0  # the load that the other dispatchers were last notified of
+        self.gossiped_code = 0  # load code that was last sent to the other dispatchers
         self.gossiped_at = now
         self.in_flight: dict[tuple[str, int], Attempt] = {}  # by request id and attempt number
-        self.reservations: dict[str, float] = {}  # tokens of the decode slots asked for, by request id
+        self.reservations: dict[str, float] = {}  # tokens of reserved decode slots, by request id
         self._jitter = jitter
         self.statistics = EndpointStatistics(jitter, now)
 
     @property
     def removed(self) -> bool:
-        """Is it off the list?"""
+        """Returns whether it is no longer listed."""
         return self.entry.state is EndpointState.REMOVED
 
     @property
     def has_load(self) -> bool:
-        """Is any attempt or reservation of this dispatcher there?"""
+        """Returns whether this dispatcher has an attempt or a reservation there."""
         return bool(self.in_flight or self.reservations)
 
     def set_entry(self, entry: Endpoint, kind: EndpointKind) -> None:
-        """The list has this entry from now on."""
+        """Replaces its entry in the endpoint list."""
         self.entry = entry
         self.role = kind.role
         self._nominal_memory_tokens = kind.memory_tokens
 
     def forget_learned(self, now: float) -> None:
-        """The endpoint restarted: nothing learned before holds any more."""
+        """Discards the statistics, since the endpoint restarted."""
         self.statistics = EndpointStatistics(self._jitter, now)
 
     def prefill_cost_in_flight(self) -> float:
-        """Prefill cost of this dispatcher's prefills there."""
-        if not self.in_flight:  # most endpoints, most of the time
+        """Returns the cost of this dispatcher's prefills there."""
+        if not self.in_flight:  # fast path: true for most endpoints
             return 0.0
         return sum(attempt.prefill_cost for attempt in self.in_flight.values() if attempt.is_prefill)
 
     def tokens_in_flight(self) -> float:
-        """Tokens of this dispatcher's decodes and reservations there."""
+        """Returns the tokens of this dispatcher's decodes and reservations there."""
         if not self.in_flight and not self.reservations:
             return 0.0
         decoding = sum(
@@ -76,34 +76,35 @@
         return decoding + sum(self.reservations.values())
 
     def unstarted_decode_cost(self) -> float:
-        """Prefill cost of decodes without a first token: a mixed host computes the prompt as well."""
+        """Returns the prefill cost of decodes without a first token; a mixed host prefills them, too."""
         return sum(
             attempt.prefill_cost
             for attempt in self.in_flight.values()
             if not attempt.is_prefill and not attempt.started
         )
 
-    def closeness(self, other: TrackedEndpoint) -> int:
-        """2 in the same cell, 1 in the same zone, else 0."""
+    def proximity(self, other: TrackedEndpoint) -> int:
+        """Returns 2 for the same cell, 1 for the same zone, else 0."""
         if self.entry.cell == other.entry.cell:
             return 2
         return int(self.entry.zone == other.entry.zone)
 
     def memory_tokens(self, now: float) -> float:
-        """Memory size in tokens as counted here: the settings', corrected by the endpoint's reports."""
+        """Returns the memory size in tokens: the settings' value, corrected by the endpoint's reports."""
         return self.statistics.memory.capacity(self._nominal_memory_tokens, now)
 
     def prefill_speed(self, average: float, now: float) -> float:
-        """Prefill cost that it completes in a millisecond: cost in flight at sending over time taken.
+        """Returns the prefill cost that it completes per millisecond: cost at sending over duration.
 
-        A prefill that is in flight for longer than `average` allows counts though no outcome came: an
-        endpoint that hangs, crawls or loses requests slows down at once. One without samples has the average.
+        A prefill that has been in flight for longer than expected at `average` speed already counts, so that
+        an endpoint that hangs, is slow or loses requests gets a lower speed at once. Without samples, the
+        result is `average`.
         """
-        learned = self.statistics
-        done = learned.cost_done.value_at(now)
-        busy = learned.busy_ms.value_at(now)
+        statistics = self.statistics
+        completed = statistics.completed_cost.value_at(now)
+        busy = statistics.busy_ms.value_at(now)
         for attempt in self.in_flight.values():
-            if attempt.is_prefill and (now - attempt.sent_at) * average > attempt.cost_ahead:
-                done += attempt.cost_ahead
+            if attempt.is_prefill and (now - attempt.sent_at) * average > attempt.cost_at_send:
+                completed += attempt.cost_at_send
                 busy = busy + now - attempt.sent_at
-        return (done + average * PRIOR_MS) / (busy + PRIOR_MS)
+        return (completed + average * SPEED_PRIOR_MS) / (busy + SPEED_PRIOR_MS)
--- a/violetstack/tracking/endpoint_set.py
+++ b/violetstack/tracking/endpoint_set.py
@@ -1,4 +1,4 @@
-"""All endpoints of the list, and which of them may prefill or decode."""
+"""The endpoints of the list, and which of them can prefill or decode."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from violetstack.tracking.affinity import PrefillAffinity
 from violetstack.tracking.endpoint import EndpointKind, TrackedEndpoint
 
-DEFAULT_KIND = EndpointKind(Role.MIXED, memory_tokens=100_000.0)  # what the settings do not tell
-FULL_PENALTY = 1.0  # all the freeness of an idle endpoint
+DEFAULT_KIND = EndpointKind(Role.MIXED, memory_tokens=100_000.0)  # for kinds without settings
+FULL_PENALTY = 1.0  # the freeness of an idle endpoint
 
 
 class EndpointSet:
-    """The endpoint list with this dispatcher's records of each. A mixed host is in both pools."""
+    """This dispatcher's records of all listed endpoints. A mixed host is in both pools."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
-        """Start without endpoints; `rng` staggers the dispatchers' slow start of each."""
+        """Starts without endpoints; `rng` draws the jitter of each one's slow start."""
         self.by_name: dict[str, TrackedEndpoint] = {}
         self.prefill_hosts: list[TrackedEndpoint] = []
         self.decode_hosts: list[TrackedEndpoint] = []
@@ -27,13 +27,13 @@
         self._rng = rng
 
     def pool(self, *, is_prefill: bool) -> list[TrackedEndpoint]:
-        """The usable hosts of one stage."""
+        """Returns the usable hosts of one stage."""
         return self.prefill_hosts if is_prefill else self.decode_hosts
 
     def apply(self, update: EndpointUpdate, now: float) -> list[TrackedEndpoint]:
-        """Take a change of the list, and return the endpoints that restarted under their old ids.
+        """Applies an endpoint update, and returns the endpoints that restarted with an unchanged id.
 
-        Removed endpoints stay until `discard_removed`.
+        Removed endpoints are kept until `discard_removed` is called.
         """
         if update.scope is not UpdateScope.DELTA:
             listed = {entry.server for entry in update.endpoints}
@@ -47,14 +47,14 @@
         return restarted
 
     def discard_removed(self) -> None:
-        """Forget removed endpoints, each once its last attempt has ended: hosts get new ids all day."""
+        """Deletes removed endpoints without attempts; new ids appear all day, so records would accumulate."""
         removed = [endpoint for endpoint in self.by_name.values() if endpoint.removed]
         for endpoint in removed:
             if not endpoint.in_flight:
                 del self.by_name[endpoint.name]
 
     def unavailable(self, now: float) -> int:
-        """How many listed endpoints are not chosen now: draining, or without freeness for their failures."""
+        """Returns how many listed endpoints are out of rotation: draining, or with a full penalty."""
         return sum(
             1
             for endpoint in self.by_name.values()
@@ -63,7 +63,7 @@
         )
 
     def _apply_entry(self, entry: Endpoint, now: float) -> bool:
-        """Take one entry; has its endpoint restarted?"""
+        """Applies one entry, and returns whether its endpoint restarted."""
         kind = self._kinds[entry.kind] if entry.kind < len(self._kinds) else DEFAULT_KIND
         endpoint = self.by_name.get(entry.server)
         if endpoint is None:
@@ -85,12 +85,12 @@
 
 
 def _kinds(settings: Settings) -> list[EndpointKind]:
-    """What the settings say of each kind, by its number."""
+    """Returns the settings of each kind, by its index."""
     roles = settings.roles
     sizes = settings.memory_tokens
     kinds = []
     for index in range(max(len(roles), len(sizes))):
         role = roles[index] if index < len(roles) else DEFAULT_KIND.role
-        told_size = sizes[index] if index < len(sizes) else 0.0
-        kinds.append(EndpointKind(role, told_size if told_size > 0 else DEFAULT_KIND.memory_tokens))
+        memory_tokens = sizes[index] if index < len(sizes) else 0.0
+        kinds.append(EndpointKind(role, memory_tokens if memory_tokens > 0 else DEFAULT_KIND.memory_tokens))
     return kinds
--- a/violetstack/tracking/gossip_receiver.py
+++ b/violetstack/tracking/gossip_receiver.py
@@ -1,4 +1,4 @@
-"""Takes what the other dispatchers of a tier tell."""
+"""Receives the gossip of the other dispatchers."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 from violetstack.tracking.gossip_sender import GOSSIP_DELAY_MS, GossipSender
 from violetstack.tracking.state import PolicyState
 
-RESEND_SPREAD = 9.0  # answers to a new dispatcher come after one to ten gossip delays
+RESEND_SPREAD = 9.0  # the reply to a new dispatcher is sent after one to ten gossip delays
 
 
 class GossipReceiver:
-    """Keeps the others' load, and answers dispatchers that are new."""
+    """Records the load of the other dispatchers, and replies to dispatchers that started."""
 
     def __init__(self, state: PolicyState, sender: GossipSender) -> None:
-        """Keep the load in `state`; answers go out by `sender`."""
+        """Records the load in `state`; replies are sent by `sender`."""
         self._state = state
         self._sender = sender
 
     def receive(self, event: GossipReceived) -> list[TrackedEndpoint]:
-        """Take a datagram; returns the endpoints that failed its sender, where its word counts."""
+        """Processes a datagram, and returns the endpoints for which its failure reports are accepted."""
         state = self._state
         if event.peer == state.settings.dispatcher_index:
             return []
-        if event.payload == RESET_DATAGRAM:  # it knows nothing of our load, as may others that start with it
+        if event.payload == RESET_DATAGRAM:
+            # The sender does not know our load, and other dispatchers may have started with it.
             self._sender.resend_all(GOSSIP_DELAY_MS * (1.0 + RESEND_SPREAD * state.rng.random()))
         endpoints = state.endpoints.by_name
         try:
--- a/violetstack/tracking/gossip_sender.py
+++ b/violetstack/tracking/gossip_sender.py
@@ -1,4 +1,4 @@
-"""Tells the other dispatchers of a tier what this one has in flight where, and which endpoints failed it."""
+"""Sends the load of this dispatcher at each endpoint, and failures, to the other dispatchers."""
 
 from __future__ import annotations
 
@@ -10,48 +10,48 @@
 from violetstack.tracking.endpoint import TrackedEndpoint
 from violetstack.tracking.state import PolicyState
 
-GOSSIP_DELAY_MS = 20.0  # changes within this time share a datagram
-LAZY_GOSSIP_DELAY_MS = 1_000.0  # for a stream's end: streams take seconds, and a datagram has its price
-TIMER_SLACK_MS = 1.0  # a timer may fire that much early
+GOSSIP_DELAY_MS = 20.0  # changes within this time are sent in one datagram
+LAZY_GOSSIP_DELAY_MS = 1_000.0  # for the end of a stream: streams take seconds, so fewer datagrams suffice
+TIMER_SLACK_MS = 1.0  # a timer may fire this much early
 
 
 class GossipSender:
     """Collects changes of load and failures, and sends them in datagrams of bounded size."""
 
     def __init__(self, state: PolicyState) -> None:
-        """Nothing is to be sent."""
+        """Starts with nothing to send."""
         self._state = state
         self._enabled = state.settings.gossip_allowed
         self._due_at = inf
         self._failed: dict[bytes, None] = {}  # tags of endpoints that failed, the oldest first
 
     def announce_start(self) -> None:
-        """Say that nothing is known here of the others' load: all of them send theirs."""
+        """Announces that this dispatcher started, so that the others send their load."""
         if self._enabled:
             self._state.act(SendGossip(codec.RESET_DATAGRAM))
 
     def restart(self) -> None:
-        """After a pause of the process: ask for the others' load, and send all of ours."""
+        """Requests the others' load and sends all of ours, after a pause of the process."""
         if self._enabled:
             self.announce_start()
             self.resend_all(GOSSIP_DELAY_MS)
 
     def add_failure(self, endpoint: TrackedEndpoint) -> None:
-        """The endpoint failed this dispatcher; goes with the next datagram."""
+        """Adds a failure of the endpoint to the next datagram."""
         self._failed[endpoint.gossip_tag] = None
 
     def schedule(self, delay_ms: float = GOSSIP_DELAY_MS) -> None:
-        """Send what changed after this delay at the latest."""
+        """Sends changes after this delay at the latest."""
         state = self._state
         if self._enabled and state.now + delay_ms < self._due_at:
             self._due_at = state.now + delay_ms
             state.act(StartTimer(delay_ms, timer_tokens.GOSSIP))
 
     def send_changes(self) -> None:
-        """Send failures, and the load that changed since it was last sent, the longest unsent first."""
+        """Sends failures, and loads that changed since they were last sent, the oldest first."""
         state = self._state
         if state.now < self._due_at - TIMER_SLACK_MS:
-            return  # an earlier timer of several; what it stood for has been sent
+            return  # an outdated timer: its changes have been sent
         self._due_at = inf
         failed = list(self._failed)
         entries = [codec.LoadEntry(tag, codec.FAILURE_CODE) for tag in failed[: codec.MAX_ENTRIES]]
@@ -72,7 +72,7 @@
             self.schedule()
 
     def resend_all(self, delay_ms: float) -> None:
-        """Send the load at all endpoints, for dispatchers that may not know it."""
+        """Sends the load at all endpoints, for dispatchers that may not know it."""
         loaded = self._loaded_endpoints()
         for endpoint in loaded:
             endpoint.gossiped_code = codec.NOT_ANNOUNCED
@@ -80,7 +80,7 @@
             self.schedule(delay_ms)
 
     def _loaded_endpoints(self) -> list[TrackedEndpoint]:
-        """Endpoints with load now, or with load when they were last sent."""
+        """Returns endpoints that have load now, or had load when it was last sent."""
         endpoints = self._state.endpoints.by_name.values()
         return [
             endpoint
--- a/violetstack/tracking/in_flight.py
+++ b/violetstack/tracking/in_flight.py
@@ -1,4 +1,4 @@
-"""Records what was sent and reserved, and has the other dispatchers notified of the load that it makes."""
+"""Records attempts and reservations, and schedules gossip of the load that they cause."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class InFlightTracker:
-    """Opens and closes the records of requests, attempts and reservations."""
+    """Creates and removes the records of requests, attempts and reservations."""
 
     def __init__(self, state: PolicyState, gossip: GossipSender) -> None:
-        """Keep the records in `state`; changes of load go out by `gossip`."""
+        """Keeps the records in `state`; changes of load are sent by `gossip`."""
         self._state = state
         self._gossip = gossip
 
     def open_request(self, params: Request) -> RequestState:
-        """A request arrived."""
+        """Creates the record of a request that arrived."""
         state = self._state
         request = RequestState(
             params,
@@ -32,11 +32,11 @@
         return request
 
     def close_request(self, request: RequestState) -> None:
-        """Its last attempt has ended and nothing is held for it."""
+        """Removes the record of a request that has no attempt in flight and no state held for it."""
         self._state.requests.pop(request.id, None)
 
     def add_attempt(self, request: RequestState, host: TrackedEndpoint, *, is_prefill: bool) -> Attempt:
-        """The request is sent to the host."""
+        """Records an attempt that is sent to the host now."""
         state = self._state
         cost = state.load.uncached_prefill_cost(host, request, state.statistics.cache_trust(state.now))
         attempt = Attempt(
@@ -47,7 +47,7 @@
             sent_at=state.now,
             expected_cached_tokens=state.endpoints.affinity.expected_cached_tokens(host, request),
             prefill_cost=cost,
-            cost_ahead=cost + state.load.prefill_cost_in_flight(host),
+            cost_at_send=cost + state.load.prefill_cost_in_flight(host),
         )
         request.sent += 1
         request.in_flight[attempt.number] = attempt
@@ -60,7 +60,7 @@
         return attempt
 
     def start_stream(self, event: StreamStarted) -> None:
-        """An attempt's first token came: from here on nothing is held for the request elsewhere."""
+        """Records an attempt's first token; from then on, no state is held for the request elsewhere."""
         request = self._state.requests.get(event.id)
         attempt = None if request is None else request.in_flight.get(event.attempt)
         if attempt is None:
@@ -71,7 +71,7 @@
         record_start(self._state, attempt, event)
 
     def end_attempt(self, event: AttemptFinished) -> Attempt | None:
-        """An attempt ended: learn from it, and return it; None if it is not known."""
+        """Records the end of an attempt, and returns the attempt; None if it is unknown."""
         request = self._state.requests.get(event.id)
         attempt = None if request is None else request.in_flight.pop(event.attempt, None)
         if attempt is None:
@@ -83,8 +83,8 @@
         return attempt
 
     def add_reservation(self, request: RequestState, host: TrackedEndpoint) -> None:
-        """A decode slot is asked for at the host."""
-        request.slot.hosts_asked.append(host)
+        """Records that a decode slot is requested at the host."""
+        request.slot.hosts_tried.append(host)
         request.slot.host = host
         request.slot.reserved = False
         request.holds_remote_state = True
@@ -93,7 +93,7 @@
         self._gossip.schedule()
 
     def drop_reservation(self, request: RequestState) -> None:
-        """The request's slot is counted on no more."""
+        """Removes the request's reservation."""
         host = request.slot.host
         if host is not None:
             if host.reservations.pop(request.id, None) is not None:
@@ -103,7 +103,7 @@
         request.slot.reserved = False
 
     def drop_held(self, request: RequestState) -> None:
-        """Neither a slot nor computed state is held for the request any more."""
+        """Records that neither a slot nor prefilled state is held for the request."""
         self.drop_reservation(request)
-        request.state_at = None
+        request.state_host = None
         request.holds_remote_state = False
--- a/violetstack/tracking/request.py
+++ b/violetstack/tracking/request.py
@@ -1,4 +1,4 @@
-"""Records of a request and of its attempts. Times are milliseconds of the caller's clock."""
+"""Records of a request and of its attempts; times are milliseconds of the caller's clock."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Attempt:
-    """One attempt of a request at one endpoint, from its sending to its outcome."""
+    """One attempt of a request at one endpoint."""
 
     def __init__(
         self,
@@ -24,19 +24,19 @@
         sent_at: float,
         expected_cached_tokens: float,
         prefill_cost: float,
-        cost_ahead: float,
+        cost_at_send: float,
     ) -> None:
-        """Record an attempt that is sent now.
+        """Records an attempt that is sent now.
 
         Args:
-            request: what it is an attempt of.
+            request: the request that is sent.
             number: counts the request's attempts from 0.
-            endpoint: where it goes.
-            is_prefill: it computes the prompt alone and leaves the rest to a decode host.
-            sent_at: now.
-            expected_cached_tokens: prompt tokens that the endpoint is believed to have cached.
+            endpoint: the host to which it is sent.
+            is_prefill: whether it only prefills the prompt and a decode host generates the answer.
+            sent_at: the current time.
+            expected_cached_tokens: prompt tokens that are expected to be cached at the endpoint.
             prefill_cost: cost of the tokens that are not cached.
-            cost_ahead: prefill cost in flight at the endpoint, this attempt's included.
+            cost_at_send: prefill cost in flight at the endpoint, including this attempt's.
         """
         self.request = request
         self.number = number
@@ -45,23 +45,23 @@
         self.sent_at = sent_at
         self.expected_cached_tokens = expected_cached_tokens
         self.prefill_cost = prefill_cost
-        self.cost_ahead = cost_ahead
-        self.started = False  # its first token has come
-        self.spans_pause = False  # the process did not run for part of its time, so its times are no sample
+        self.cost_at_send = cost_at_send
+        self.started = False  # whether its first token arrived
+        self.spans_pause = False  # a pause of the process falls in it, so its times are not sampled
 
 
 class DecodeSlot:
-    """The slot that is reserved for a request at a decode host while it is prefilled."""
+    """The decode slot that is reserved for a request while it is prefilled."""
 
     def __init__(self) -> None:
-        """No host was asked."""
-        self.host: TrackedEndpoint | None = None  # the host asked last
-        self.reserved = False  # it has confirmed
-        self.hosts_asked: list[TrackedEndpoint] = []  # during one prefill
+        """Starts without a reservation."""
+        self.host: TrackedEndpoint | None = None  # of the latest reservation
+        self.reserved = False  # whether the host confirmed it
+        self.hosts_tried: list[TrackedEndpoint] = []  # hosts of all reservations during one prefill
 
 
 class RequestState:
-    """One request: its attempts, the state and the decode slot held for it, and its deadline."""
+    """The record of one request: its attempts, deadline, prefilled state and decode slot."""
 
     def __init__(
         self,
@@ -71,20 +71,20 @@
         max_attempts: int,
         now: float,
     ) -> None:
-        """Take a request.
+        """Records a request that arrived.
 
         Args:
-            params: the request as it came.
+            params: the request as it arrived.
             class_settings: the settings of its class.
             shortest_objective_ms: latency objective of the most demanding class, for an empty prompt.
-            max_attempts: the tier's bound on attempts; the request's route may lower it.
-            now: the time of arrival at the policy.
+            max_attempts: the limit of the settings; the request's route may lower it.
+            now: when it arrived at the policy.
         """
         self.id = params.id
         self.params = params
         self.class_settings = class_settings
         self.route = params.route
-        self.scope = ""  # requests of one scope compete for the same hosts
+        self.scope = ""  # name of the active pool; requests of one scope compete for the same hosts
         self.max_attempts = max_attempts
         if self.route is not None:
             self.scope = self.route.active_pool(now)
@@ -98,39 +98,39 @@
         self.shortest_objective_ms -= class_settings.latency_objective_ms
         self.tokens = params.prompt_tokens + _answer_tokens(params, class_settings)
 
-        self.sent = 0  # attempts made so far
+        self.sent = 0  # number of attempts so far
         self.in_flight: dict[int, Attempt] = {}  # by number
         self.failed_at: list[TrackedEndpoint] = []
-        self.first_effective: Attempt | None = None  # the first attempt that may have run and had an effect
-        self.started = False  # some attempt's first token came
-        self.done = False  # the final answer is decided
+        self.first_attempt_with_effect: Attempt | None = None  # the first attempt that may have been executed
+        self.started = False  # whether the first token of an attempt arrived
+        self.done = False  # whether the final answer is decided
 
         self.preferred_hosts: list[TrackedEndpoint] = []  # prefill hosts, by affinity
-        self.state_at: TrackedEndpoint | None = None  # the prefill host that keeps the computed state
+        self.state_host: TrackedEndpoint | None = None  # the prefill host that holds the prefilled state
         self.slot = DecodeSlot()
-        self.holds_remote_state = False  # something may be held at some host, even if no longer tracked here
+        self.holds_remote_state = False  # a host may hold something, even if it is no longer tracked here
 
     def route_allows(self, endpoint: TrackedEndpoint, now: float) -> bool:
-        """Is the endpoint in the pool of the request's route? Without a route, each is."""
+        """Returns whether the request's route allows the endpoint; without a route, all are allowed."""
         return self.route is None or self.route.contains(endpoint.name, now)
 
     @property
     def awaits_first_token(self) -> bool:
-        """Has it neither a final answer nor a stream?"""
+        """Returns whether it has neither a final answer nor a stream."""
         return not self.done and not any(attempt.started for attempt in self.in_flight.values())
 
     @property
     def only_prefills(self) -> bool:
-        """Is no decode in flight?"""
+        """Returns whether no decode is in flight."""
         return all(attempt.is_prefill for attempt in self.in_flight.values())
 
     def lateness(self, now: float) -> float:
-        """Its age over the latency objective that the most demanding class has for this length."""
+        """Returns its age over the latency objective of the most demanding class for this length."""
         return (now - self.arrived_at) / max(1.0, self.shortest_objective_ms)
 
 
 def _objective_ms(params: Request, class_settings: ClassSettings) -> float:
-    """The latency objective of the first token, for this prompt's length and the answer's if told."""
+    """Returns the latency objective, by the length of the prompt and, if known, of the answer."""
     objective_ms = class_settings.latency_objective_ms
     objective_ms += class_settings.objective_ms_per_1000_tokens * params.prompt_tokens / 1000.0
     if params.expected_answer_ms is not None and class_settings.inter_token_objective_ms > 0:
@@ -139,7 +139,7 @@
 
 
 def _answer_tokens(params: Request, class_settings: ClassSettings) -> float:
-    """The length of the answer: as the client expects it, at most its bound."""
+    """Returns the answer's expected length if known, at most its limit; else the limit."""
     if params.expected_answer_ms is None or class_settings.inter_token_objective_ms <= 0:
         return params.max_tokens
     return min(params.max_tokens, params.expected_answer_ms / class_settings.inter_token_objective_ms)
--- a/violetstack/tracking/state.py
+++ b/violetstack/tracking/state.py
@@ -1,4 +1,4 @@
-"""The state that all parts of the policy share."""
+"""The state that is shared by all parts of the policy."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class PolicyState:
-    """What the policy knows, and the actions of the batch of events in hand.
+    """The policy's state, and the actions for the current batch of events.
 
     Attributes:
-        settings: of the tier.
-        rng: the one source of randomness, seeded by the settings.
-        now: time of the batch in hand, milliseconds.
-        pause_ms: for how long the process did not run just before the batch; 0 ordinarily.
-        requests: those not finished, by id.
-        endpoints: the endpoint list with this dispatcher's records.
-        statistics: what is usual among all endpoints.
-        remote_load: what the other dispatchers told of.
-        load: estimates of load, from the four above.
-        tenant_quotas: each tenant's quota at this dispatcher, by its number.
+        settings: the dispatcher's settings.
+        rng: the only source of randomness, seeded by the settings.
+        now: time of the current batch, in milliseconds.
+        pause_ms: length of a pause of the process right before the batch; 0 if there was none.
+        requests: open requests, by id.
+        endpoints: this dispatcher's records of the listed endpoints.
+        statistics: statistics over all endpoints.
+        remote_load: the load that the other dispatchers reported.
+        load: estimates of load, from the attributes above.
+        tenant_quotas: quota of each tenant at this dispatcher, by its index.
         shortest_objective_ms: latency objective of the most demanding class, for an empty prompt.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Start with no requests and no endpoints."""
+        """Starts without requests and endpoints."""
         self.settings = settings
         self.rng = random.Random(settings.seed)
         self.now = 0.0
@@ -51,14 +51,14 @@
         self._actions: list[Action] = []
 
     def begin_batch(self, now: float) -> None:
-        """Events of this time follow."""
+        """Starts a batch of events."""
         self.now = now
         self.pause_ms = 0.0
         self._actions = []
         self.remote_load.expire(now)
 
     def begin_after_pause(self, pause_ms: float) -> None:
-        """The process did not run before this batch: forget others' load, and sample no time across it."""
+        """Forgets the others' load after a pause of the process, and excludes attempts that span it."""
         self.pause_ms = pause_ms
         for request in self.requests.values():
             for attempt in request.in_flight.values():
@@ -66,9 +66,9 @@
         self.remote_load.clear()
 
     def act(self, action: Action) -> None:
-        """Add an action to the batch's answer."""
+        """Adds an action to the batch."""
         self._actions.append(action)
 
     def end_batch(self) -> list[Action]:
-        """The actions of the batch, in the order in which they were decided."""
+        """Returns the actions of the batch, in the order in which they were decided."""
         return self._actions
--- a/violetstack/tracking/timer_tokens.py
+++ b/violetstack/tracking/timer_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens of the policy's timers. A timer of a request has the form `KIND:REQUEST_ID`."""
+"""Tokens of the policy's timers; that of a request's timer has the form `KIND:REQUEST_ID`."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 WATCH_RETRY = "watch"
 HEALTH_CHECK = "poll"
 GOSSIP = "tell"
-PREFILL_CUTOFF = "g"  # shortly before the deadline: cancel what can no longer be followed by a decode
-FINAL_ANSWER = "d"  # just before the deadline: answer whatever is in flight
+PREFILL_CUTOFF = "g"  # shortly before the deadline: cancels prefills that no decode can follow
+FINAL_ANSWER = "d"  # just before the deadline: sends the final answer
 
 
 class TimerToken(NamedTuple):
@@ -19,11 +19,11 @@
 
 
 def encode(kind: str, request_id: str) -> str:
-    """The token of a request's timer."""
+    """Returns the token of a request's timer."""
     return f"{kind}:{request_id}"
 
 
 def decode(token: str) -> TimerToken:
-    """The kind of a timer, and the request it belongs to."""
+    """Returns the kind of a timer and the id of its request."""
     kind, _, request_id = token.partition(":")
     return TimerToken(kind, request_id)
