--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -46,7 +46,7 @@
 
 def merged(*sources: EndpointSource) -> dict[str, CachedEndpoint]:
     endpoints = merge_sources(sources, NOW, warm_up_ms=WARM_UP_MS, max_age_ms=MAX_AGE_MS)
-    return {endpoint.server.id: endpoint for endpoint in endpoints}
+    return {endpoint.listed.id: endpoint for endpoint in endpoints}
 
 
 def stored(age_ms: float, *servers: ListedEndpoint) -> EndpointSource:
@@ -80,12 +80,12 @@
     age_ms: float, status: CacheStatus, started_ms: float
 ) -> None:
     endpoint = merged(stored(age_ms, server("a", 1)))["a"]
-    assert (endpoint.status, endpoint.server.started_ms) == (status, started_ms)
+    assert (endpoint.status, endpoint.listed.started_ms) == (status, started_ms)
 
 
 def test_the_most_recent_source_of_each_endpoint_counts() -> None:
     found = merged(configured(server("a", 1), server("b", 2)), stored(5_000.0, server("a", 1, "leaving")))
-    assert (found["a"].status, found["a"].server.state) == (CacheStatus.FRESH, "leaving")
+    assert (found["a"].status, found["a"].listed.state) == (CacheStatus.FRESH, "leaving")
     assert found["b"].status is CacheStatus.REJECTED
     assert "newer list" in found["b"].reason
     alone = merged(configured(server("a", 1)), stored(5_000.0))
@@ -211,7 +211,7 @@
     retained = threshold.check(NOW, current, [server("b", 1, "leaving")])
     assert retained is not None
     assert retained.until == NOW + 30_000.0
-    assert {(s.id, s.started_ms) for s in retained.servers} == {("a", NOW), ("c", NOW), ("d", NOW)}
+    assert {(s.id, s.started_ms) for s in retained.endpoints} == {("a", NOW), ("c", NOW), ("d", NOW)}
     assert threshold.check(NOW + 29_000.0, current, []) is not None
     assert threshold.check(NOW + 30_000.0, current, []) is None  # confirmed after the time: accepted
     assert PanicThreshold(float("inf"), 1.0).check(NOW, current, []) is None  # turned off
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -109,11 +109,11 @@
         directory = CrashingDirectory(crash_at, seed=crash_at)
         written = write_until_crash(directory, 12)
         recovered = recover(directory)
-        assert len(recovered.snapshot.servers) in (written, written + 1), crash_at
+        assert len(recovered.snapshot.endpoints) in (written, written + 1), crash_at
         directory.crash_at = 10**9
         store = SnapshotStore(directory, recovered)  # the next process goes on after it
         store.write_snapshot(recovered.snapshot.encode())
-        assert recover(directory).snapshot.servers == recovered.snapshot.servers
+        assert recover(directory).snapshot.endpoints == recovered.snapshot.endpoints
 
 
 def stored_state() -> tuple[CrashingDirectory, StateSnapshot]:
@@ -142,7 +142,7 @@
     sizes_with_two = list[int]()
     for size in range(len(complete)):
         directory.files[log] = complete[:size]
-        servers = recover(directory).snapshot.servers
+        servers = recover(directory).snapshot.endpoints
         counts.add(len(servers))
         sizes_with_two += [size] if len(servers) == 2 else []
         assert list(servers) == [f"h{n + 1}" for n in range(len(servers))]
@@ -160,8 +160,8 @@
             directory.files = {**intact, name: bytes(corrupted)}
             recovered = recover(directory)
             assert recovered.problems
-            servers = recovered.snapshot.servers
-            assert all(snapshot.servers[key] == server for key, server in servers.items())
+            servers = recovered.snapshot.endpoints
+            assert all(snapshot.endpoints[key] == server for key, server in servers.items())
 
 
 @pytest.mark.parametrize(
@@ -210,7 +210,7 @@
         await writer.flush()
 
     trio.run(write)
-    assert set(recover(StateDirectory(str(folder))).snapshot.servers) == {"h1", "h2"}
+    assert set(recover(StateDirectory(str(folder))).snapshot.endpoints) == {"h1", "h2"}
 
 
 def test_pending_records_beyond_the_limit_are_replaced_by_a_snapshot(
@@ -225,10 +225,10 @@
             writer.snapshot.apply_endpoints(message(n), complete=False)
             writer.append(encode_endpoints(message(n), complete=False))
         await writer.flush()
-        return len(writer.snapshot.servers)
+        return len(writer.snapshot.endpoints)
 
     assert trio.run(write) == 11
-    assert len(recover(StateDirectory(str(tmp_path))).snapshot.servers) == 11
+    assert len(recover(StateDirectory(str(tmp_path))).snapshot.endpoints) == 11
 
 
 def test_the_commands_show_stored_state_and_report_corruption(tmp_path: Path) -> None:
--- a/violetstack/commands/state.py
+++ b/violetstack/commands/state.py
@@ -93,8 +93,8 @@
     now_s = time.time()
     age_s = now_s - snapshot.received_at / 1000.0
     click.echo(f"generation {generation}; list of version {snapshot.version}, received {age_s:.0f} s ago")
-    for server in sorted(snapshot.servers.values(), key=lambda s: s.id):
-        click.echo(f"  {server.id}  {server.kind}  {server.addr}  {server.state}")
+    for endpoint in sorted(snapshot.endpoints.values(), key=lambda listed: listed.id):
+        click.echo(f"  {endpoint.id}  {endpoint.kind}  {endpoint.addr}  {endpoint.state}")
     if snapshot.learned is not None:
         age_s = now_s - snapshot.learned.captured_at_ms / 1000.0
         click.echo(f"learned state of {len(snapshot.learned.endpoints)} hosts, {age_s:.0f} s old")
--- a/violetstack/daemon/endpoints.py
+++ b/violetstack/daemon/endpoints.py
@@ -206,11 +206,11 @@
         log(
             "endpoint_list_loss_suspected",
             version=event.update.version,
-            retained=[message.id for message in found.servers][:MAX_ENDPOINTS_LOGGED],
+            retained=[message.id for message in found.endpoints][:MAX_ENDPOINTS_LOGGED],
         )
         if self._nursery is not None:
             self._nursery.start_soon(self._request_list_at, found.until)
-        merged = EndpointListMessage(event.update.version, True, [*event.messages, *found.servers])
+        merged = EndpointListMessage(event.update.version, True, [*event.messages, *found.endpoints])
         return self._decoder.to_event(merged, UpdateScope.SNAPSHOT)
 
     async def _request_list_at(self, at_ms: float) -> None:
--- a/violetstack/net/endpoint_cache.py
+++ b/violetstack/net/endpoint_cache.py
@@ -40,12 +40,12 @@
         now = now_ms()
         sources = [EndpointSource("known", None, configured.version, tuple(configured.servers))]
         if stored.received_at:
-            servers = tuple(stored.servers.values())
-            sources.append(EndpointSource("disk", stored.received_at, stored.version, servers))
+            endpoints_on_disk = tuple(stored.endpoints.values())
+            sources.append(EndpointSource("disk", stored.received_at, stored.version, endpoints_on_disk))
         endpoints = merge_sources(sources, now, warm_up_ms=self._warm_up_ms, max_age_ms=self._max_age_ms)
         self._log_loaded(endpoints, now - stored.received_at if stored.received_at else None)
-        self._stale = [e.server for e in endpoints if e.status is CacheStatus.STALE]
-        usable = [e.server for e in endpoints if e.status is not CacheStatus.REJECTED]
+        self._stale = [e.listed for e in endpoints if e.status is CacheStatus.STALE]
+        usable = [e.listed for e in endpoints if e.status is not CacheStatus.REJECTED]
         return EndpointListMessage(configured.version, True, usable)
 
     async def verify(
@@ -75,7 +75,7 @@
 
     def _log_loaded(self, endpoints: list[CachedEndpoint], age_ms: float | None) -> None:
         counts = {status.value: sum(1 for e in endpoints if e.status is status) for status in CacheStatus}
-        reasons = [f"{e.server.id}: {e.reason}" for e in endpoints if e.status is CacheStatus.REJECTED]
+        reasons = [f"{e.listed.id}: {e.reason}" for e in endpoints if e.status is CacheStatus.REJECTED]
         age_s = None if age_ms is None else round(age_ms / 1000.0, 1)
         log("endpoints_recovered", age_s=age_s, reasons=reasons[:MAX_REASONS_LOGGED], **counts)
 
--- a/violetstack/recovery/cached_endpoints.py
+++ b/violetstack/recovery/cached_endpoints.py
@@ -34,19 +34,19 @@
         name: The name of the source, for the log.
         received_at: When the list was received from service discovery, in Unix milliseconds; None if unknown.
         version: The version of the list.
-        servers: The endpoints.
+        endpoints: The endpoints in the list.
     """
 
     name: str
     received_at: float | None
     version: int
-    servers: tuple[ListedEndpoint, ...]
+    endpoints: tuple[ListedEndpoint, ...]
 
 
 class CachedEndpoint(NamedTuple):
     """An endpoint, its reliability, and the reason for that as a text for the log."""
 
-    server: ListedEndpoint
+    listed: ListedEndpoint
     status: CacheStatus
     reason: str
 
@@ -71,22 +71,22 @@
     merged: dict[str, CachedEndpoint] = {}
     newer_list_exists = False
     for source in newest_first:
-        for server in source.servers:
-            if server.id in merged:
+        for listed in source.endpoints:
+            if listed.id in merged:
                 continue
-            endpoint = _assess(server, source, now, warm_up_ms, max_age_ms)
-            if newer_list_exists and endpoint.status is not CacheStatus.REJECTED and server.state == "active":
+            cached = _assess(listed, source, now, warm_up_ms, max_age_ms)
+            if newer_list_exists and cached.status is not CacheStatus.REJECTED and listed.state == "active":
                 reason = f"{source.name}: not in a newer list"
-                endpoint = CachedEndpoint(endpoint.server, CacheStatus.REJECTED, reason)
-            merged[server.id] = endpoint
-        newer_list_exists = newer_list_exists or bool(source.servers)
+                cached = CachedEndpoint(cached.listed, CacheStatus.REJECTED, reason)
+            merged[listed.id] = cached
+        newer_list_exists = newer_list_exists or bool(source.endpoints)
     return _reject_address_conflicts(list(merged.values()), now)
 
 
 def _assess(
-    server: ListedEndpoint, source: EndpointSource, now: float, warm_up_ms: float, max_age_ms: float
+    listed: ListedEndpoint, source: EndpointSource, now: float, warm_up_ms: float, max_age_ms: float
 ) -> CachedEndpoint:
-    started_now = msgspec.structs.replace(server, started_ms=now)
+    started_now = msgspec.structs.replace(listed, started_ms=now)
     if source.received_at is None:
         return CachedEndpoint(started_now, CacheStatus.STALE, f"{source.name}: of unknown age")
     if source.received_at > now + MAX_CLOCK_SKEW_MS:
@@ -95,35 +95,35 @@
     age_ms = now - source.received_at
     reason = f"{source.name}: {age_ms / 1000.0:.0f} s old"
     if age_ms > max_age_ms:
-        return CachedEndpoint(server, CacheStatus.REJECTED, reason)
+        return CachedEndpoint(listed, CacheStatus.REJECTED, reason)
     if age_ms > warm_up_ms:
         return CachedEndpoint(started_now, CacheStatus.STALE, reason)
-    return CachedEndpoint(server, CacheStatus.FRESH, source.name)
+    return CachedEndpoint(listed, CacheStatus.FRESH, source.name)
 
 
-def _reject_address_conflicts(endpoints: list[CachedEndpoint], now: float) -> list[CachedEndpoint]:
+def _reject_address_conflicts(cached_endpoints: list[CachedEndpoint], now: float) -> list[CachedEndpoint]:
     """Rejects all but one of the endpoints that have the same address: the most reliable, latest started one.
 
     Otherwise a request for one endpoint would reach another one.
     """
     best_first = sorted(
-        endpoints,
-        key=lambda e: (
-            e.status is CacheStatus.REJECTED,
-            e.status is CacheStatus.STALE,
-            -min(e.server.started_ms, now),
+        cached_endpoints,
+        key=lambda entry: (
+            entry.status is CacheStatus.REJECTED,
+            entry.status is CacheStatus.STALE,
+            -min(entry.listed.started_ms, now),
         ),
     )
     id_by_address: dict[str, str] = {}
-    checked: list[CachedEndpoint] = []
-    for endpoint in best_first:
-        address = endpoint.server.addr
-        if endpoint.status is CacheStatus.REJECTED or not address:
-            checked.append(endpoint)
+    resolved: list[CachedEndpoint] = []
+    for cached in best_first:
+        address = cached.listed.addr
+        if cached.status is CacheStatus.REJECTED or not address:
+            resolved.append(cached)
         elif address in id_by_address:
             reason = f"{address} belongs to {id_by_address[address]} now"
-            checked.append(CachedEndpoint(endpoint.server, CacheStatus.REJECTED, reason))
+            resolved.append(CachedEndpoint(cached.listed, CacheStatus.REJECTED, reason))
         else:
-            id_by_address[address] = endpoint.server.id
-            checked.append(endpoint)
-    return checked
+            id_by_address[address] = cached.listed.id
+            resolved.append(cached)
+    return resolved
--- a/violetstack/recovery/panic_threshold.py
+++ b/violetstack/recovery/panic_threshold.py
@@ -21,11 +21,11 @@
     """Endpoints that remain in use although the list lacks them.
 
     Attributes:
-        servers: The missing endpoints, with the start time set to now.
+        endpoints: The missing endpoints, with the start time set to now.
         until: When a list without them will be accepted, in Unix milliseconds.
     """
 
-    servers: tuple[ListedEndpoint, ...]
+    endpoints: tuple[ListedEndpoint, ...]
     until: float
 
 
@@ -57,9 +57,9 @@
         Returns:
             The endpoints to retain, or None if the list is accepted as it is.
         """
-        listed = {server.id for server in received}
-        active = [server for server in current.values() if server.state == "active"]
-        missing = [server for server in active if server.id not in listed]
+        listed = {endpoint.id for endpoint in received}
+        active = [endpoint for endpoint in current.values() if endpoint.state == "active"]
+        missing = [endpoint for endpoint in active if endpoint.id not in listed]
         if not missing or len(missing) < self._missing_share * len(active):
             self._retained_until = None
             return None
@@ -68,5 +68,5 @@
         if now >= self._retained_until:
             self._retained_until = None
             return None
-        servers = (msgspec.structs.replace(server, started_ms=now) for server in missing)
-        return RetainedEndpoints(tuple(servers), self._retained_until)
+        endpoints = (msgspec.structs.replace(endpoint, started_ms=now) for endpoint in missing)
+        return RetainedEndpoints(tuple(endpoints), self._retained_until)
--- a/violetstack/state/snapshot.py
+++ b/violetstack/state/snapshot.py
@@ -31,7 +31,7 @@
 
     received_at: float = msgspec.field(name="at")
     version: int
-    servers: tuple[ListedEndpoint, ...]
+    endpoints: tuple[ListedEndpoint, ...] = msgspec.field(name="servers")
 
 
 class StateSnapshot(msgspec.Struct):
@@ -40,13 +40,13 @@
     Attributes:
         received_at: When service discovery last sent a message; 0 if it never did.
         version: The version of the endpoint list.
-        servers: The listed endpoints, by id.
+        endpoints: The listed endpoints, by id.
         learned: The policy's estimates, which have their own time; None if there are none.
     """
 
     received_at: float = msgspec.field(default=0.0, name="heard_at")
     version: int = 0
-    servers: dict[str, ListedEndpoint] = {}
+    endpoints: dict[str, ListedEndpoint] = msgspec.field(default_factory=dict, name="servers")
     learned: LearnedState | None = None
 
     def encode(self) -> bytes:
@@ -56,12 +56,12 @@
     def apply_endpoints(self, message: EndpointMessage, *, complete: bool) -> None:
         """Replaces the endpoint list if the message is `complete`, otherwise applies its changes."""
         if complete:
-            self.servers = {}
-        for server in message.servers:
-            if server.state == "left":
-                self.servers.pop(server.id, None)
+            self.endpoints = {}
+        for endpoint in message.endpoints:
+            if endpoint.state == "left":
+                self.endpoints.pop(endpoint.id, None)
             else:
-                self.servers[server.id] = server
+                self.endpoints[endpoint.id] = endpoint
         self.received_at = message.received_at
         self.version = message.version
 
@@ -83,7 +83,7 @@
                 stored = msgspec.msgpack.decode(record.body, type=StateSnapshot)
                 self.received_at = stored.received_at
                 self.version = stored.version
-                self.servers = stored.servers
+                self.endpoints = stored.endpoints
                 self.learned = stored.learned
             case RecordKind.ENDPOINT_LIST | RecordKind.ENDPOINT_CHANGES:
                 message = msgspec.msgpack.decode(record.body, type=EndpointMessage)
