--- a/violetstack/net/admin_server.py
+++ b/violetstack/net/admin_server.py
@@ -27,9 +27,7 @@
     def __init__(self, operations: AdminOperations) -> None:
         """Creates a server of these operations."""
         self._operations = operations
-        self._waiting: dict[
-            trio.CancelScope, None
-        ] = {}  # connections with an incomplete request, oldest first
+        self._waiting: dict[trio.CancelScope, None] = {}  # with an incomplete request, oldest first
         self._open = 0
         self._closed = trio.Event()
 
--- a/violetstack/net/handover.py
+++ b/violetstack/net/handover.py
@@ -15,9 +15,7 @@
 from violetstack.net.handover_directory import HandoverDirectory
 from violetstack.policy_api import EndpointUpdate
 
-SCAN_INTERVAL_S = (
-    0.1  # so that a cordon set in another process takes effect well within the drain grace period
-)
+SCAN_INTERVAL_S = 0.1  # cordons set in another process take effect well within the drain grace period
 WRITE_INTERVAL_S = 0.5
 
 
--- a/violetstack/net/resource_limits.py
+++ b/violetstack/net/resource_limits.py
@@ -11,7 +11,7 @@
 # connections that are being closed.
 RESERVED_DESCRIPTORS = 28
 ADMIN_API_DESCRIPTORS = 17  # the admin listener and its connections
-MIN_CONNECTIONS = 4  # upstream, and of clients, however few descriptors are available
+MIN_CONNECTIONS = 4  # upstream connections and client connections each have at least this many descriptors
 CONNECTION_MEMORY_SHARE = 0.2  # share of the memory for client connections
 REFUSED_MEMORY_SHARE = 0.05  # for refused connections beyond MAX_CONCURRENT_REJECTIONS
 CONNECTION_BYTES = 32 * 1024  # memory of one client connection
@@ -26,8 +26,7 @@
     Attributes:
         upstream: Upstream connections of the process.
         clients: Client connections of each listener.
-        refused: Connections of each listener beyond `clients` that are kept open until their rejection is
-        sent.
+        refused: Connections of each listener beyond `clients`, kept open until their rejection is sent.
         body_bytes: Buffered request bodies of each listener.
     """
 
--- a/violetstack/net/watch.py
+++ b/violetstack/net/watch.py
@@ -72,7 +72,9 @@
         self.index = index
         self.scope = trio.CancelScope()
         self.stream: trio.SocketStream | None = None
-        self.last_message_at = trio.current_time()  # when the last object or empty line was complete
+        self.last_message_at = (
+            trio.current_time()
+        )  # of the last complete object or empty line, or of the start
         self.last_read_at = self.last_message_at  # also counts reads without a complete object
         self.responded = False
         self.stalled = False
