--- a/tests/faulty_discovery.py
+++ b/tests/faulty_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery in memory that fails in each of the ways that are known, for tests in virtual time."""
+"""A discovery service in memory that can fail in each known way, for tests in virtual time."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from violetstack.rehearsal.peer import Break, PeerConnection
 
 Script = Callable[[PeerConnection], Awaitable[None]]
-Connecting = Callable[[], Awaitable[None]]
+Connect = Callable[[], Awaitable[None]]
 
 
 class MemorySocket:
-    """Stands for the socket of a connection in memory."""
+    """The socket of an in-memory connection."""
 
     def __init__(self, sending: MemorySendStream, receiving: MemoryReceiveStream) -> None:
         self._sending = sending
@@ -36,7 +36,7 @@
 
 
 class MemoryStream:
-    """A connection in memory that has what the watch uses of a socket's stream."""
+    """An in-memory connection with the part of the interface of `trio.SocketStream` that the watch uses."""
 
     def __init__(self, sending: MemorySendStream, receiving: MemoryReceiveStream) -> None:
         self.socket = MemorySocket(sending, receiving)
@@ -45,7 +45,7 @@
 
 
 async def silent(connection: PeerConnection) -> None:
-    """Accepts the connection and never sends anything on it, not after the outage either."""
+    """Accepts the connection and never sends anything on it, not even after the outage."""
     await trio.sleep_forever()
 
 
@@ -53,28 +53,28 @@
     await connection.answer(503, [("Retry-After", "60")])
 
 
-async def ends_in_a_list(connection: PeerConnection) -> None:
+async def breaks_off_in_a_list(connection: PeerConnection) -> None:
     await connection.start(200, [])
     await connection.data(b'{"version":1,"full":true,"servers":[{"id":"r",')
     raise Break
 
 
-async def stops_in_an_object(connection: PeerConnection) -> None:
+async def stalls_in_an_object(connection: PeerConnection) -> None:
     await connection.start(200, [])
     await connection.data(b'{"version":2,"servers":[')
     await trio.sleep_forever()
 
 
-async def sends_no_json(connection: PeerConnection) -> None:
+async def sends_invalid_json(connection: PeerConnection) -> None:
     await connection.start(200, [])
     await connection.data(b"what\n")
 
 
-async def sends_a_bad_list(connection: PeerConnection) -> None:
+async def sends_an_invalid_list(connection: PeerConnection) -> None:
     await connection.answer(200, [], b'{"version":3,"servers":7}')
 
 
-async def sends_no_http(connection: PeerConnection) -> None:
+async def sends_invalid_http(connection: PeerConnection) -> None:
     await connection.raw(b"what\r\n\r\n")
 
 
@@ -85,8 +85,8 @@
         await trio.sleep(0.3)
 
 
-async def falls_silent(connection: PeerConnection) -> None:
-    """A watch that is up, and stalls after its first word."""
+async def stalls(connection: PeerConnection) -> None:
+    """Establishes a watch, which stalls after its first message."""
     await connection.start(200, [])
     await connection.data(b"\n")
     await trio.sleep_forever()
@@ -96,33 +96,33 @@
     raise ConnectionRefusedError
 
 
-ANSWERS = (
+FAULTY_ANSWERS = (
     silent,
     rejects,
-    ends_in_a_list,
-    stops_in_an_object,
-    sends_no_json,
-    sends_a_bad_list,
-    sends_no_http,
+    breaks_off_in_a_list,
+    stalls_in_an_object,
+    sends_invalid_json,
+    sends_an_invalid_list,
+    sends_invalid_http,
     trickles,
 )
-FAULTS: dict[str, tuple[Connecting | None, Script]] = {
+FAULTS: dict[str, tuple[Connect | None, Script]] = {
     "refuses": (refuses, silent),
-    "never comes up": (trio.sleep_forever, silent),
-    "falls silent": (None, falls_silent),
-    **{script.__name__.replace("_", " "): (None, script) for script in ANSWERS},
+    "connect hangs": (trio.sleep_forever, silent),
+    "stalls": (None, stalls),
+    **{script.__name__.replace("_", " "): (None, script) for script in FAULTY_ANSWERS},
 }
 
 
 class FaultyDiscovery(Discovery):
-    """Answers as `fault` says while it is down, and otherwise as usual, after `delay_s`."""
+    """Fails in the way named by `fault` while `down` is set; otherwise answers after `delay_s`."""
 
     def __init__(self, fault: str) -> None:
         super().__init__({"id": "r", "addr": "10.0.0.1:80", "kind": "prefill"})
         self.down = False
         self.delay_s = 0.0
-        self.calls: list[float] = []
-        self._connecting, self._script = FAULTS[fault]
+        self.connected_at: list[float] = []
+        self._connect_fault, self._script = FAULTS[fault]
 
     async def handle(self, inbound: HttpRequest, connection: PeerConnection) -> None:
         if self.down:
@@ -132,14 +132,14 @@
         await super().handle(inbound, connection)
 
     async def connect(self, nursery: trio.Nursery) -> MemoryStream:
-        """Opens a connection of the dispatcher, served in the nursery."""
-        self.calls.append(trio.current_time())
+        """Opens a connection for the dispatcher, served by a task in the nursery."""
+        self.connected_at.append(trio.current_time())
         await trio.lowlevel.checkpoint()
-        if self.down and self._connecting is not None:
-            await self._connecting()
-        ours, theirs = memory_stream_pair()
-        nursery.start_soon(self._serve, theirs)
-        return MemoryStream(ours.send_stream, ours.receive_stream)
+        if self.down and self._connect_fault is not None:
+            await self._connect_fault()
+        client_end, server_end = memory_stream_pair()
+        nursery.start_soon(self._serve, server_end)
+        return MemoryStream(client_end.send_stream, client_end.receive_stream)
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
         with trio.CancelScope() as scope:
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -97,7 +97,9 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "other_files"), [("silent", 0), ("ends in a list", OTHER_FILES)], ids=["counted", "all taken"]
+    ("fault", "other_files"),
+    [("silent", 0), ("breaks off in a list", OTHER_FILES)],
+    ids=["counted", "all taken"],
 )
 def test_a_drain_is_applied_when_discovery_returns_to_a_crowded_process(
     fault: str, other_files: int, tmp_path: Path
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the endpoint list on real sockets, with an agent that acts at a known byte."""
+"""The watch of the endpoint list over real sockets, with an agent whose responses are scripted."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Agent(Discovery):
-    """Discovery's agent: the n-th connection is answered by the n-th script, the others as usual."""
+    """A discovery agent: the n-th script answers the n-th request; later requests are answered as usual."""
 
     def __init__(self, *rows: dict[str, Any], scripts: tuple[Script, ...] = ()) -> None:
         super().__init__(*rows)
@@ -64,7 +64,7 @@
 
 
 async def watch_agent(on: Stage, *scripts: Script) -> Agent:
-    """Has the dispatcher watch an agent that answers its first connections by these scripts."""
+    """Makes the dispatcher watch an agent that answers its first requests with these scripts."""
     agent = Agent(*(row for _, rows in on.discovery.changes for row in rows), scripts=scripts)
     await on.nursery.start(agent.serve)
     assert on.daemon.watch is not None
@@ -79,37 +79,37 @@
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 0.2)
     monkeypatch.setattr(watch, "FIRST_MESSAGE_TIMEOUT_S", 0.2)
     monkeypatch.setattr(watch, "HEDGE_DELAY_S", 0.05)
 
 
-# --- a watch that closes ---
+# --- the watch is closed ---
 
 
-def test_a_watch_that_was_reset_is_reopened_without_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What the agent has counts as known: any backoff would be taken from the drain's 250 ms."""
+def test_a_closed_watch_is_reopened_without_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A drain counts as known once the agent has it, so a backoff would use up its grace period of 250 ms."""
     monkeypatch.setattr(backoff, "AGENT_FIRST_WINDOW_S", 60.0)
     monkeypatch.setattr(backoff, "AGENT_MAX_WINDOW_S", 60.0)
-    reader, writer = pair()
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         on.discovery.hang_up()
-        on.discovery.tell(writer.row(state="leaving"))  # while no watch is open
+        on.discovery.tell(decode_host.row(state="leaving"))  # while no watch is open
         await until(lambda: is_draining(on))
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_watch_that_closes_at_once_each_time_is_reopened_at_a_minimum_interval() -> None:
+def test_a_watch_that_is_closed_at_once_is_reopened_at_the_minimum_interval() -> None:
     async def story(on: Stage) -> None:
-        async def ends(connection: PeerConnection) -> None:
+        async def end_at_once(connection: PeerConnection) -> None:
             await connection.start(200, [])
             await connection.data(b"\n")
             await connection.end()
 
-        agent = await watch_agent(on, *[ends] * 500)
+        agent = await watch_agent(on, *[end_at_once] * 500)
         began = trio.current_time()
         await until(lambda: len(agent.asked) > 8)
         assert trio.current_time() - began > 7 * watch.MIN_CONNECT_INTERVAL_S * 0.9
@@ -117,104 +117,104 @@
     play(*pair(), story=story)
 
 
-def test_a_list_is_received_as_soon_as_an_outage_with_hanging_connections_ends(
+def test_a_change_is_received_promptly_after_an_outage_that_left_connections_hanging(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Waiting for a connection that hung took 5.5 s longer."""
+    """Regression: waiting for a connection that hung delayed the change by 5.5 s."""
     monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 60.0)
     monkeypatch.setattr(watch, "FIRST_MESSAGE_TIMEOUT_S", 60.0)
-    reader, writer = pair()
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, *[silent] * 4)
-        await until(lambda: not agent.scripts)  # the fourth is as silent: more are opened beside it
-        agent.tell(writer.row(state="leaving"))
+        await until(lambda: not agent.scripts)  # the fourth also stays silent; the next one is answered
+        agent.tell(decode_host.row(state="leaving"))
         await until(lambda: is_draining(on), 1.0)
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_of_connections_that_are_answered_in_one_instant_one_stays_open(
+def test_one_of_several_connections_answered_at_the_same_moment_stays_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each of them dropped all the others, so that no watch was left."""
+    """Regression: each connection dropped all the others, which left no watch."""
     monkeypatch.setattr(watch, "FIRST_MESSAGE_TIMEOUT_S", 60.0)
     monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 60.0)
-    reader, writer = pair()
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        back = trio.Event()
+        answer_now = trio.Event()
 
-        async def answered(connection: PeerConnection) -> None:
-            await back.wait()
+        async def answer_together(connection: PeerConnection) -> None:
+            await answer_now.wait()
             await connection.start(200, [])
             await connection.data(list_message(1))
             await until(lambda: agent.version > 1)
-            await connection.data(list_message(2, writer.row(state="leaving")))
+            await connection.data(list_message(2, decode_host.row(state="leaving")))
             await silent(connection)
 
-        agent = await watch_agent(on, *[answered] * 5)
+        agent = await watch_agent(on, *[answer_together] * 5)
         await until(lambda: not agent.scripts)
         agent.scripts = [silent] * 500
-        back.set()
+        answer_now.set()
         await until(lambda: on.daemon.watch is not None and not on.daemon.watch.reconnecting)
         await until(lambda: on.daemon.watch is not None and on.daemon.watch.connection_count < 2)
-        agent.tell(writer.row(state="leaving"))
+        agent.tell(decode_host.row(state="leaving"))
         await until(lambda: is_draining(on))
         assert on.daemon.watch is not None
         assert on.daemon.watch.connection_count == 1
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
 def test_the_number_of_connections_to_a_hanging_agent_is_limited() -> None:
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, *[silent] * 500)
-        most = 0
+        max_open = 0
         while len(agent.asked) < 12:
             await trio.sleep(0.001)
-            most = max(most, len(agent.connections))
-        assert most <= watch.MAX_WAITING_CONNECTIONS
+            max_open = max(max_open, len(agent.connections))
+        assert max_open <= watch.MAX_WAITING_CONNECTIONS
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "served"
 
     play(*pair(), story=story)
 
 
-# --- a watch that stalls ---
+# --- the watch stalls ---
 
 
 @pytest.mark.parametrize("last", [b"\n", b'\n{"version":1,"servers":[', b'\n{"version":1,"servers":[]}'])
-def test_a_stalled_watch_is_read_until_another_has_sent_something(last: bytes) -> None:
-    """Stalled between lines, inside an object and after one; the old one resumes first, then a new one."""
-    reader, writer = pair()
+def test_a_stalled_watch_is_read_until_another_connection_has_sent_data(last: bytes) -> None:
+    """Stalls between lines, in an object or after one; the old connection resumes first, then a new one."""
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        speak = trio.Event()
+        resume = trio.Event()
 
-        async def late(connection: PeerConnection) -> None:
-            await speak.wait()
+        async def resume_later(connection: PeerConnection) -> None:
+            await resume.wait()
             end = b"]}" if last.endswith(b"[") else b""
-            await connection.data(end + list_message(2, writer.row(state="leaving")))
+            await connection.data(end + list_message(2, decode_host.row(state="leaving")))
             await silent(connection)
 
-        agent = await watch_agent(on, sending(last, then=late), *[silent] * 500)
+        agent = await watch_agent(on, sending(last, then=resume_later), *[silent] * 500)
         await until(lambda: len(agent.asked) > 3)
-        speak.set()  # the new ones hang as well, and the old one resumes
+        resume.set()  # the new connections hang as well, and the stalled one resumes
         await until(lambda: is_draining(on))
         opened = agent.opened
         await trio.testing.wait_all_tasks_blocked()
         assert (agent.opened, len(agent.connections)) == (opened, 1)
-        agent.scripts.clear()  # then it stalls again, and a new one sends a list
+        agent.scripts.clear()  # now it stalls again, and a new connection sends a list
         agent.version = 2
-        agent.tell(writer.row())
+        agent.tell(decode_host.row())
         await until(lambda: not is_draining(on))
         await until(lambda: len(agent.connections) == 1)
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_watch_that_sends_no_complete_object_stalls() -> None:
-    reader, writer = pair()
+def test_a_watch_that_never_completes_an_object_counts_as_stalled() -> None:
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         async def trickle(connection: PeerConnection) -> None:
@@ -223,20 +223,20 @@
                 await trio.sleep(0.01)
 
         agent = await watch_agent(on, sending(b'\n{"version":2,', then=trickle))
-        agent.tell(writer.row(state="leaving"))
+        agent.tell(decode_host.row(state="leaving"))
         await until(lambda: is_draining(on))
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
 @pytest.mark.parametrize(
     ("first", "floods"),
     [(b"", watch.MAX_WAITING_CONNECTIONS), (b"\n", 1)],
-    ids=["before its first word", "after it"],
+    ids=["before the first message", "after it"],
 )
-def test_a_flood_of_bytes_without_an_object_is_no_sign_of_life(first: bytes, floods: int) -> None:
-    """A connection with unread bytes at each look was never given up."""
-    reader, writer = pair()
+def test_a_flood_of_bytes_without_a_complete_object_counts_as_stalled(first: bytes, floods: int) -> None:
+    """Regression: a connection that always had unread bytes never counted as stalled."""
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         async def flood(connection: PeerConnection) -> None:
@@ -244,59 +244,59 @@
                 await connection.data(b" " * watch.RECEIVE_BYTES)
 
         agent = await watch_agent(on, *[sending(first, then=flood)] * floods)
-        agent.tell(writer.row(state="leaving"))
+        agent.tell(decode_host.row(state="leaving"))
         await until(lambda: is_draining(on), 2.0)
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-# --- a new address, and a new process ---
+# --- a new address, a new process ---
 
 
-def test_changes_from_the_old_discovery_count_until_the_new_one_has_sent_its_list() -> None:
-    """The old watch must not be closed with unread data before the new one is up."""
-    reader, writer = pair()
+def test_changes_from_the_old_discovery_are_applied_until_the_new_one_has_sent_its_list() -> None:
+    """The old watch must not be closed with unread data before the new one is established."""
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        new = Agent(reader.row(), writer.row(), scripts=(silent,) * 3)
+        new = Agent(prefill_host.row(), decode_host.row(), scripts=(silent,) * 3)
         await on.nursery.start(new.serve)
-        on.discovery.tell(writer.row(state="leaving"))  # unread when the signal comes
+        on.discovery.tell(decode_host.row(state="leaving"))  # still unread when the configuration is reloaded
         on.daemon.reload(lambda: on.config(discovery=new.address))
         await until(lambda: is_draining(on))
-        await until(lambda: not new.scripts)  # then it answers: its whole list replaces the old one
+        await until(lambda: not new.scripts)  # then it answers, and its complete list replaces the old one
         await until(lambda: not is_draining(on))
         assert set(new.asked[:4]) == {"/api/targets"}
-        on.discovery.tell(reader.row(state="leaving"))
-        new.tell(writer.row(state="leaving"))
+        on.discovery.tell(prefill_host.row(state="leaving"))
+        new.tell(decode_host.row(state="leaving"))
         await until(lambda: is_draining(on))
         assert not is_draining(on, "r")
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_new_process_accepts_requests_after_its_agents_first_word() -> None:
-    """The configuration's list is older than the agent's, which counts from the first moment."""
-    reader, writer = pair()
+def test_a_new_process_accepts_requests_after_the_first_message_of_its_agent() -> None:
+    """The list in the configuration is outdated; a drain that the agent knows applies from the start."""
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        agent = Agent(reader.row(), writer.row())
-        agent.tell(writer.row(state="leaving"))
+        agent = Agent(prefill_host.row(), decode_host.row())
+        agent.tell(decode_host.row(state="leaving"))
 
-        async def late(connection: PeerConnection) -> None:
+        async def send_later(connection: PeerConnection) -> None:
             await trio.testing.wait_all_tasks_blocked()
             await connection.start(200, [])
-            await connection.data(list_message(2, writer.row(state="leaving")))
+            await connection.data(list_message(2, decode_host.row(state="leaving")))
             await silent(connection)
 
-        agent.scripts = [late]
+        agent.scripts = [send_later]
         await on.nursery.start(agent.serve)
-        again = Daemon(on.config(discovery=agent.address))
-        serving = await on.nursery.start(again.serve)
-        assert "w" in again.core.draining
+        new_daemon = Daemon(on.config(discovery=agent.address))
+        serving = await on.nursery.start(new_daemon.serve)
+        assert "w" in new_daemon.core.draining
         assert (await ask_platform(serving.platform, "q1", "orden")).outcome == "refused"
-        assert (reader.begun, writer.begun) == ([], [])
+        assert (prefill_host.begun, decode_host.begun) == ([], [])
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
 def test_a_new_process_with_a_hanging_agent_starts_after_a_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -305,8 +305,8 @@
     async def story(on: Stage) -> None:
         agent = Agent(scripts=(silent,) * 500)
         await on.nursery.start(agent.serve)
-        again = Daemon(on.config(discovery=agent.address))
-        serving = await on.nursery.start(again.serve)
+        new_daemon = Daemon(on.config(discovery=agent.address))
+        serving = await on.nursery.start(new_daemon.serve)
         assert (await ask_platform(serving.platform, "q1", "orden")).outcome == "served"
 
     play(*pair(), story=story)
@@ -316,35 +316,37 @@
 
 
 def test_after_an_invalid_change_the_complete_list_is_requested_and_the_watch_stays_open() -> None:
-    reader, writer = pair()
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        more = trio.Event()
+        send_change = trio.Event()
 
-        async def go_on(connection: PeerConnection) -> None:
-            await more.wait()
-            await connection.data(list_message(9, writer.row(state="leaving")))
+        async def send_later(connection: PeerConnection) -> None:
+            await send_change.wait()
+            await connection.data(list_message(9, decode_host.row(state="leaving")))
             await silent(connection)
 
-        agent = await watch_agent(on, sending(b'\n{"version":2,"servers":7}\n', then=go_on), *[silent] * 500)
+        agent = await watch_agent(
+            on, sending(b'\n{"version":2,"servers":7}\n', then=send_later), *[silent] * 500
+        )
         await until(lambda: len(agent.asked) > 3)
         assert set(agent.asked[1:]) == {"/api/targets"}
-        more.set()
+        send_change.set()
         await until(lambda: is_draining(on))
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_after_a_change_that_is_no_json_the_complete_list_is_requested() -> None:
-    reader, writer = pair()
+def test_after_a_change_that_is_not_json_the_complete_list_is_requested() -> None:
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, sending(b"what\n"))
-        agent.tell(writer.row(state="leaving"))
+        agent.tell(decode_host.row(state="leaving"))
         await until(lambda: is_draining(on))
         assert agent.asked[1] == "/api/targets"
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
 @pytest.mark.parametrize(
@@ -355,41 +357,44 @@
         b'{"version":%d}\n' % 10**30,
         b'{"version":1,"servers":[{"id":"r","cell":%d}]}\n' % 10**30,
     ],
-    ids=["nested too deeply", "no UTF-8", "version of 100 bits", "cell of 100 bits"],
+    ids=["nested too deeply", "not UTF-8", "version of 100 bits", "cell of 100 bits"],
 )
-def test_a_change_that_the_decoder_can_not_take_ends_nothing(change: bytes) -> None:
-    """What it raised for some of them ended the process."""
-    reader, writer = pair()
+def test_a_change_that_cannot_be_decoded_does_not_end_the_process(change: bytes) -> None:
+    """Regression: the exceptions that some of these changes raise ended the process."""
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, sending(b"\n", change))
-        agent.tell(writer.row(state="leaving"))
+        agent.tell(decode_host.row(state="leaving"))
         await until(lambda: is_draining(on))
         assert on.daemon.core.endpoints.keys() == {"r", "w"}
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_after_a_version_that_goes_back_the_complete_list_is_requested() -> None:
-    """Every change after one of a far too high version was taken for an overtaken one."""
-    reader, writer = pair()
+def test_after_a_version_that_decreases_the_complete_list_is_requested() -> None:
+    """Regression: after a change with far too high a version, all later changes were dropped as outdated."""
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        changes = [list_message(10**12, reader.row()), list_message(2, writer.row(state="leaving"))]
+        changes = [
+            list_message(10**12, prefill_host.row()),
+            list_message(2, decode_host.row(state="leaving")),
+        ]
         agent = await watch_agent(on, sending(b"\n", *changes))
-        agent.tell(writer.row(state="leaving"))
+        agent.tell(decode_host.row(state="leaving"))
         await until(lambda: is_draining(on))
         assert agent.asked[1] == "/api/targets"
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
 def test_invalid_complete_lists_are_requested_with_backoff() -> None:
     async def story(on: Stage) -> None:
-        async def bad(connection: PeerConnection) -> None:
+        async def send_invalid_list(connection: PeerConnection) -> None:
             await connection.answer(200, [], b'{"version":3,"full":false,"servers":[]}')
 
-        agent = await watch_agent(on, sending(b"what\n"), *[bad] * 500)
+        agent = await watch_agent(on, sending(b"what\n"), *[send_invalid_list] * 500)
         with pytest.raises(AssertionError, match="not in time"):
             await until(lambda: len(agent.asked) > 8, 1.0)
         assert len(agent.asked) >= 3
@@ -398,31 +403,31 @@
     play(*pair(), story=story)
 
 
-def test_an_invalid_entry_does_not_hide_the_others(capfd: pytest.CaptureFixture[str]) -> None:
-    reader, writer = pair()
+def test_an_invalid_entry_does_not_affect_the_others(capfd: pytest.CaptureFixture[str]) -> None:
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        odd = {**writer.row(), "id": "x", "cell": "three"}
-        on.discovery.tell(odd, writer.row(state="leaving"))
+        invalid_entry = {**decode_host.row(), "id": "x", "cell": "three"}
+        on.discovery.tell(invalid_entry, decode_host.row(state="leaving"))
         await until(lambda: is_draining(on))
         assert "x" not in on.daemon.core.endpoints
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
     assert r'"skipped":["{\"id\":\"x\"' in capfd.readouterr().out
 
 
 def test_indented_lists_that_arrive_byte_by_byte_are_decoded() -> None:
-    reader, writer = pair()
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        change = list_message(2, writer.row(state="leaving"), option=orjson.OPT_INDENT_2)
+        change = list_message(2, decode_host.row(state="leaving"), option=orjson.OPT_INDENT_2)
         await watch_agent(on, sending(b"\n", *(bytes([byte]) for byte in change)))
         await until(lambda: is_draining(on))
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-TEXTS = st.lists(
+JSON_ROWS = st.lists(
     st.recursive(
         st.text() | st.integers(-9, 9) | st.none(),
         lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner, max_size=3),
@@ -432,36 +437,40 @@
 )
 
 
-@given(TEXTS, st.booleans(), st.integers(1, 40), st.sampled_from(["\n", "\n\n", " \r\n"]))
-def test_objects_are_split_whatever_their_layout_and_chunks(
-    rows: list[Any], indented: bool, cut: int, between: str
+@given(JSON_ROWS, st.booleans(), st.integers(1, 40), st.sampled_from(["\n", "\n\n", " \r\n"]))
+def test_objects_are_split_in_any_layout_and_any_chunks(
+    rows: list[Any], indented: bool, chunk_size: int, separator: str
 ) -> None:
     option = orjson.OPT_INDENT_2 if indented else 0
     objects = [orjson.dumps({"row": row}, option=option) for row in rows]
-    sent = b"".join(each + between.encode() for each in objects)
-    values = JsonObjectSplitter()
-    came = [v for n in range(0, len(sent), cut) for v in values.feed(memoryview(sent)[n : n + cut])]
-    assert [value for value in came if value] == objects
-    assert came.count(b"") == (between.count("\n") - 1) * len(objects)
-    assert list(values.feed(b"\n")) == [b""]
-
-
-@pytest.mark.parametrize("noise", [b"x", b"[]", b"}", b'{"a":1}x', b'"{}"'])
-def test_bytes_that_begin_no_object_are_an_error_at_once(noise: bytes) -> None:
+    sent = b"".join(encoded + separator.encode() for encoded in objects)
+    splitter = JsonObjectSplitter()
+    received = [
+        item
+        for start in range(0, len(sent), chunk_size)
+        for item in splitter.feed(memoryview(sent)[start : start + chunk_size])
+    ]
+    assert [value for value in received if value] == objects
+    assert received.count(b"") == (separator.count("\n") - 1) * len(objects)
+    assert list(splitter.feed(b"\n")) == [b""]
+
+
+@pytest.mark.parametrize("data", [b"x", b"[]", b"}", b'{"a":1}x', b'"{}"'])
+def test_bytes_that_do_not_begin_an_object_are_rejected_at_once(data: bytes) -> None:
     with pytest.raises(EndpointListError):
-        list(JsonObjectSplitter().feed(noise))
+        list(JsonObjectSplitter().feed(data))
 
 
 def test_the_size_of_an_object_is_limited() -> None:
     splitter = JsonObjectSplitter()
     accepted_bytes = 0
 
-    def feed_without_end() -> None:
+    def feed_endless_object() -> None:
         nonlocal accepted_bytes
         for _ in range(MAX_OBJECT_BYTES // 1000 + 2):
             list(splitter.feed(b'{"a":"' + b"x" * 994 if not accepted_bytes else b"y" * 1000))
             accepted_bytes += 1000
 
     with pytest.raises(EndpointListError):
-        feed_without_end()
+        feed_endless_object()
     assert accepted_bytes <= MAX_OBJECT_BYTES + 1000
