--- a/tests/held_state_matrix.py
+++ b/tests/held_state_matrix.py
@@ -13,8 +13,8 @@
 
 import trio
 
-from tests.crossings import DispatcherProcess, dispatcher_process
 from tests.frozen_hosts import Conduct, HoldingHost, Reservation, Resumption, Script
+from tests.race_helpers import DispatcherProcess, dispatcher_process
 from violetstack.rehearsal.clients import Call
 from violetstack.rehearsal.fleet.hold_audit import HeldTooLong, HoldEvidence, HostRecord, audit_holds
 from violetstack.rehearsal.stage import SETTINGS
--- a/tests/crossings.py
+++ b/tests/race_helpers.py
@@ -29,15 +29,15 @@
 from violetstack.rehearsal.stage import SETTINGS, Stage
 
 LIMITS = SETTINGS["limits"]
-EXTRA = b"HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n" + b'{"cached_tokens":99}'
+SECOND_RESPONSE = b"HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n" + b'{"cached_tokens":99}'
 
 
-class SlowConnects:
-    """Connections to one host come up when `up` is set, as over a slow network."""
+class DelayedConnects:
+    """Connections to one host come up when `may_complete` is set, as over a slow network."""
 
     def __init__(self, on: Stage, name: str) -> None:
-        self.asked = trio.Event()
-        self.up = trio.Event()
+        self.requested = trio.Event()
+        self.may_complete = trio.Event()
         self._open = on.daemon.hosts.pool.open
         self._name = name
         on.daemon.hosts.pool.open = self.open  # type: ignore[method-assign]
@@ -45,8 +45,8 @@
     async def open(self, server: str, timeout_s: float, *, for_release: bool = False) -> UpstreamConnection:
         connection = await self._open(server, timeout_s, for_release=for_release)
         if server == self._name:
-            self.asked.set()
-            await self.up.wait()
+            self.requested.set()
+            await self.may_complete.wait()
         return connection
 
 
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -10,9 +10,9 @@
 import trio.testing
 from msgspec.structs import replace
 
-from tests.crossings import LIMITS, SlowConnects, send_request
+from tests.race_helpers import LIMITS, DelayedConnects, send_request
 from tests.steady import Steady, until
-from tests.test_client_disconnect import LARGE_BODY, ReadsLate
+from tests.test_client_disconnect import LARGE_BODY, LateReadingHost
 from tests.test_core import CoreHarness
 from tests.test_stories import pair, play
 from violetstack.fronts.reply import Front, Reply
@@ -88,11 +88,11 @@
     reader, writer = NotesDeadlines("r", "prefill"), ModelHost("w", "decode")
 
     async def story(on: Stage) -> None:
-        late = SlowConnects(on, "r")
+        late = DelayedConnects(on, "r")
         call = await send_request(on, "q1", Req_Deadline="1000m")
-        await late.asked.wait()
+        await late.requested.wait()
         await trio.sleep(0.2)
-        late.up.set()
+        late.may_complete.set()
         await until(lambda: len(reader.told_ms) == 1)
         assert reader.told_ms[0] <= 800.0
         await call.stream.aclose()
@@ -104,7 +104,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A host that takes a large request slowly begins it with a deadline told long before."""
-    slow, writer = ReadsLate("r", "prefill"), ModelHost("w", "decode")
+    slow, writer = LateReadingHost("r", "prefill"), ModelHost("w", "decode")
     begin = UpstreamConnection.__init__
 
     def limited(self: UpstreamConnection, raw: Any, *args: Any) -> None:
@@ -117,14 +117,14 @@
         slow._sockets[0].socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
         async def read_late() -> None:
-            await slow.asked.wait()
+            await slow.request_begun.wait()
             await trio.sleep(0.2)
-            slow.reads.set()
+            slow.may_read.set()
 
         on.nursery.start_soon(read_late)
         text = LARGE_BODY[40:-4].decode()
         answer = await ask_platform(on.platform, "q1", "orden", text=text)
-        await slow.reads.wait()
+        await slow.may_read.wait()
         await trio.testing.wait_all_tasks_blocked(0.05)
         assert slow.received < len(text)
         assert (answer.outcome, slow.begun) == ("served", ["q1"])
--- a/tests/test_bad_hosts.py
+++ b/tests/test_bad_hosts.py
@@ -65,7 +65,7 @@
     play(reader, writer, story=story)
 
 
-EXTRA = b"HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n" + b'{"cached_tokens":99}'
+SECOND_RESPONSE = b"HTTP/1.1 202 Accepted\r\nContent-Length: 20\r\n\r\n" + b'{"cached_tokens":99}'
 
 
 @pytest.mark.parametrize(
@@ -74,7 +74,7 @@
         Act(ahead=b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"),
         Act(report=b"TEXT rif=nan, x0=-inf, q=many"),
         Act(report=b"\xff\xfe{{"),
-        Act(behind=EXTRA),
+        Act(behind=SECOND_RESPONSE),
     ],
     ids=["1xx", "numbers", "noise", "second answer"],
 )
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 
-from tests.crossings import LIMITS, SlowConnects, send_request
+from tests.race_helpers import LIMITS, DelayedConnects, send_request
 from tests.router_harness import SETTINGS as POLICY_SETTINGS
 from tests.steady import until
 from tests.test_chat import with_idempotency_store
@@ -144,39 +144,39 @@
 
     async def story(on: Stage) -> None:
         core = on.daemon.core
-        late = SlowConnects(on, "w")
+        connects = DelayedConnects(on, "w")
         call = await connect(on.chat)
         await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body("giro-orden"))
-        await late.asked.wait()
+        await connects.requested.wait()
         await call.stream.aclose()
         await until(lambda: not core.open_requests)
-        late.up.set()
+        connects.may_complete.set()
         await trio.testing.wait_all_tasks_blocked()
         assert (len(reader.begun), writer.begun) == (1, [])
 
     play(reader, writer, story=story, chat=with_idempotency_store(tmp_path), settings=KEYED_SETTINGS)
 
 
-class ReadsLate(ModelHost):
-    """Its first connection's receive window is full at once; it reads the rest once `reads` is set.
+class LateReadingHost(ModelHost):
+    """Its first connection's receive window is full at once; it reads the rest once `may_read` is set.
 
     On later connections it serves.
     """
 
     def __init__(self, name: str, kind: str) -> None:
         super().__init__(name, kind)
-        self.asked = trio.Event()
-        self.reads = trio.Event()
+        self.request_begun = trio.Event()
+        self.may_read = trio.Event()
         self.received = 0
 
     async def _connection(self, raw: trio.SocketStream) -> None:
-        if self.asked.is_set():
+        if self.request_begun.is_set():
             await super()._connection(raw)
             return
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         self.received += len(await raw.receive_some(100))
-        self.asked.set()
-        await self.reads.wait()
+        self.request_begun.set()
+        await self.may_read.wait()
         try:
             while data := await raw.receive_some(64 * 1024):
                 self.received += len(data)
@@ -201,7 +201,7 @@
 
     A small send buffer keeps the rest in the process; a large one takes all of it, with most still unsent.
     """
-    reader, writer = ReadsLate("r", "prefill"), ModelHost("w", "decode")
+    reader, writer = LateReadingHost("r", "prefill"), ModelHost("w", "decode")
     begin = UpstreamConnection.__init__
 
     def limited(self: UpstreamConnection, raw: Any, *args: Any) -> None:
@@ -216,12 +216,12 @@
         reader._sockets[0].socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         call = await connect(on.platform)
         await call.send("POST", "/v1/chat/completions", platform_headers("q1", "consulta"), LARGE_BODY)
-        await reader.asked.wait()
+        await reader.request_begun.wait()
         await trio.testing.wait_all_tasks_blocked()
         await call.stream.aclose()
         await until(lambda: all(each.done for each in core.open_requests.values()))
         await trio.testing.wait_all_tasks_blocked()
-        reader.reads.set()
+        reader.may_read.set()
         await trio.testing.wait_all_tasks_blocked(0.05)
         assert reader.received < len(LARGE_BODY)
 
--- a/tests/test_connection_life.py
+++ b/tests/test_connection_life.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from tests.crossings import send_request
+from tests.race_helpers import send_request
 from tests.steady import until
 from tests.test_shutdown_deadlines import settings_with_timeout, stop_as_if_asked
 from tests.test_stories import pair
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -11,7 +11,7 @@
 import trio
 import trio.testing
 
-from tests.crossings import LIMITS, SlowConnects, send_request
+from tests.race_helpers import LIMITS, DelayedConnects, send_request
 from tests.steady import Steady, until
 from tests.test_chat import with_idempotency_store
 from tests.test_stories import pair, play
@@ -127,15 +127,15 @@
     left = [f"q{n}" for n in range(20)]
 
     async def story(on: Stage) -> None:
-        late = SlowConnects(on, role)
+        late = DelayedConnects(on, role)
         calls = [await send_request(on, name) for name in left]
-        await late.asked.wait()
+        await late.requested.wait()
         await trio.testing.wait_all_tasks_blocked()
         for call in calls:
             await call.stream.aclose()
         core = on.daemon.core
         await until(lambda: all(request.done for request in core.open_requests.values()), 0.3)
-        late.up.set()
+        late.may_complete.set()
         await until(lambda: not core.open_requests)
         sent = [name for name in left if name in host.begun]
         assert (sent, [what for what in host.calls if what[0] == "POST"]) == ([], [])
@@ -169,7 +169,7 @@
     reader, writer = pair()
 
     async def story(on: Stage) -> None:
-        late = SlowConnects(on, "r")
+        late = DelayedConnects(on, "r")
         call = await connect(on.platform)
         listener = on.daemon.listeners[0]
         await until(lambda: bool(listener.table.connections))
@@ -186,9 +186,9 @@
 
         connection.stream.receive_some = receive_once  # type: ignore[method-assign]
         await call.send("POST", "/v1/chat/completions", platform_headers("q1", "orden"), BODY)
-        await late.asked.wait()
+        await late.requested.wait()
         call.stream.socket.close()  # type: ignore[attr-defined]
-        late.up.set()
+        late.may_complete.set()
         await until(lambda: not on.daemon.core.open_requests)
         assert (reader.begun, writer.begun) == ([], [])
         assert not connection.lifecycle.closed
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -8,7 +8,7 @@
 import trio
 import trio.testing
 
-from tests.crossings import EXTRA, SlowConnects, recording_attempts, send_request
+from tests.race_helpers import SECOND_RESPONSE, DelayedConnects, recording_attempts, send_request
 from tests.steady import until
 from tests.test_stories import pair, play
 from violetstack.core.records import AttemptLogEntry
@@ -37,13 +37,13 @@
     host = reader if role == "r" else writer
 
     async def story(on: Stage) -> None:
-        late = SlowConnects(on, role)
+        late = DelayedConnects(on, role)
         call = await send_request(on, "q1")
-        await late.asked.wait()
+        await late.requested.wait()
         on.discovery.tell(host.row(state=state))
         core = on.daemon.core
         await until(lambda: role in core.draining or role not in core.endpoints)
-        late.up.set()
+        late.may_complete.set()
         answer = await call.receive()
         assert (answer.outcome, host.begun) == ("refused", [])
         assert [what for what in host.calls if what[0] == "POST"] == []
@@ -72,12 +72,12 @@
     other = ModelHost("w2", "decode", DECLINE)
 
     async def story(on: Stage) -> None:
-        late = SlowConnects(on, "w2")
+        late = DelayedConnects(on, "w2")
         call = await send_request(on, "q1")
-        await late.asked.wait()  # for the reservation, or for the attempt that the other host rejected
+        await late.requested.wait()  # for the reservation, or for the attempt that the other host rejected
         on.discovery.tell(other.row(state="leaving"))
         await until(lambda: "w2" in on.daemon.core.draining)
-        late.up.set()
+        late.may_complete.set()
         await call.receive()
         assert (other.begun, [what for what in other.calls if what[0] == "POST"]) == ([], [])
 
@@ -88,12 +88,12 @@
     reader, writer = pair()
 
     async def story(on: Stage) -> None:
-        late = SlowConnects(on, "w")
+        late = DelayedConnects(on, "w")
         on.daemon.hosts.check_health("w")
-        await late.asked.wait()
+        await late.requested.wait()
         on.discovery.tell(writer.row(state="leaving"))
         await until(lambda: "w" in on.daemon.core.draining)
-        late.up.set()
+        late.may_complete.set()
         await until(lambda: len(on.daemon.hosts.pool.hosts["w"].idle) == 1)  # what came up unused is kept
         assert (writer.calls, writer.bodies) == ([], [])
 
@@ -106,14 +106,14 @@
 
     async def story(on: Stage) -> None:
         await on.nursery.start(moved.serve)
-        late = SlowConnects(on, "w")
+        late = DelayedConnects(on, "w")
         call = await send_request(on, "q1")
-        await late.asked.wait()
+        await late.requested.wait()
         on.discovery.tell(moved.row())
         await until(
             lambda: on.daemon.hosts.pool.hosts["w"].address[1] == int(moved.address.rpartition(":")[2])
         )
-        late.up.set()
+        late.may_complete.set()
         assert (await call.receive()).outcome == "served"
         assert (writer.begun, moved.begun) == ([], ["q1"])
 
@@ -134,14 +134,14 @@
     async def story(on: Stage) -> None:
         call = await send_request(on, "q1")
         await until(lambda: writer.begun == ["q1"])
-        again = SlowConnects(on, "w")
+        again = DelayedConnects(on, "w")
         gate.set()  # it breaks after the request's last byte
-        await again.asked.wait()
+        await again.requested.wait()
         if late:
             on.daemon.core.open_requests[
                 "q1"
             ].first_execution_at -= 5000.0  # as if the connection had taken that long
-        again.up.set()
+        again.may_complete.set()
         answer = await call.receive()
         assert (answer.outcome, len(writer.begun)) == (("refused", 1) if late else ("served", 2))
 
@@ -237,7 +237,7 @@
 
 
 class RespondsTwice(ModelHost):
-    """Writes `EXTRA` on the connection of its first request as soon as its second is complete."""
+    """Writes `SECOND_RESPONSE` on the connection of its first request as soon as its second is complete."""
 
     first: PeerConnection | None = None
 
@@ -245,7 +245,7 @@
         if self.first is None:
             self.first = connection
         elif self.begun.count("q2") == 1 and not act.silent:
-            await self.first.raw(EXTRA)
+            await self.first.raw(SECOND_RESPONSE)
         await super().play(act, inbound, connection)
 
 
@@ -270,7 +270,7 @@
 
 
 def test_a_second_response_on_an_idle_connection_closes_it() -> None:
-    reader = ModelHost("r", "prefill", Act(behind=EXTRA))
+    reader = ModelHost("r", "prefill", Act(behind=SECOND_RESPONSE))
     writer = ModelHost("w", "decode")
 
     async def story(on: Stage) -> None:
@@ -308,15 +308,15 @@
         reader.acts.append(Act(before=gate))
         call = await send_request(on, "q1")
         await until(lambda: reader.begun == ["q1"])
-        late = SlowConnects(on, "r")
+        late = DelayedConnects(on, "r")
         on.daemon.hosts.pool.hosts.pop("w")  # the release has but one host to go to
         request = core.open_requests["q1"]
         request.hold.apply(0.0, HoldEvent.STATE_LEFT)
         core._hold_manager.release(0.0, request)
-        await late.asked.wait()
+        await late.requested.wait()
         assert request.release is not None
         request.release.superseded = True  # as by a send
-        late.up.set()
+        late.may_complete.set()
         await until(lambda: request.release is None)
         assert reader.calls == []
         gate.set()
@@ -331,15 +331,15 @@
     other = ModelHost("r2", "prefill", Act(events=0, breaks=True))
 
     async def story(on: Stage) -> None:
-        late = {name: SlowConnects(on, name) for name in ("r", "r2")}
+        late = {name: DelayedConnects(on, name) for name in ("r", "r2")}
         call = await send_request(on, "q1")
-        await until(lambda: any(each.asked.is_set() for each in late.values()))
-        next(each for each in late.values() if each.asked.is_set()).up.set()
+        await until(lambda: any(each.requested.is_set() for each in late.values()))
+        next(each for each in late.values() if each.requested.is_set()).may_complete.set()
         released = ("DELETE", "q1")
         await until(lambda: released in reader.calls + other.calls + writer.calls)
         assert len(reader.begun) + len(other.begun) == 1  # the next is not sent yet
         for each in late.values():
-            each.up.set()
+            each.may_complete.set()
         assert (await call.receive()).outcome == "served"
 
     play(reader, writer, other, story=story)
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 
-from tests.crossings import SlowConnects, send_request
+from tests.race_helpers import DelayedConnects, send_request
 from tests.steady import until
 from tests.test_program import start
 from tests.test_stories import pair, play
@@ -100,13 +100,13 @@
     reader, writer = pair()
 
     async def story(on: Stage) -> None:
-        late = SlowConnects(on, "w")
+        connects = DelayedConnects(on, "w")
         call = await send_request(on, "q1")
         await until(lambda: reader.begun == ["q1"])
-        await late.asked.wait()
+        await connects.requested.wait()
         on.daemon.stop.set()
         await trio.testing.wait_all_tasks_blocked()
-        late.up.set()
+        connects.may_complete.set()
         assert (await call.receive()).outcome == "served"
 
     play(reader, writer, story=story)
--- a/tests/test_fault_findings.py
+++ b/tests/test_fault_findings.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from tests.crossings import DispatcherProcess, dispatcher_process
+from tests.race_helpers import DispatcherProcess, dispatcher_process
 from violetstack.rehearsal.clients import BODY, connect, platform_headers
 from violetstack.rehearsal.fleet.fault_shim import Call, ProcessFaults, build_shim
 from violetstack.rehearsal.fleet.programs import Program
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -18,7 +18,7 @@
     "multiprocessing",
     "socket",
     "subprocess",
-    "tests.crossings",
+    "tests.race_helpers",
     "tests.steady",
     "threading",
     "trio",
--- a/tests/test_shutdown_deadlines.py
+++ b/tests/test_shutdown_deadlines.py
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 
-from tests.crossings import send_request
+from tests.race_helpers import send_request
 from tests.steady import until
 from tests.test_stories import pair, play
 from violetstack.daemon.lifecycle import SignalTime
--- a/tests/test_shutdown_streams.py
+++ b/tests/test_shutdown_streams.py
@@ -14,8 +14,8 @@
 import pytest
 import trio
 
-from tests.crossings import DispatcherProcess, dispatcher_process
 from tests.pipelining import PipeliningClient, relay
+from tests.race_helpers import DispatcherProcess, dispatcher_process
 from violetstack.config import Address
 from violetstack.rehearsal.fleet.fault_shim import Call, ProcessFaults, build_shim
 from violetstack.rehearsal.fleet.programs import Program
--- a/tests/test_transient_socket_errors.py
+++ b/tests/test_transient_socket_errors.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 
-from tests.crossings import dispatcher_process
+from tests.race_helpers import dispatcher_process
 from tests.test_stories import pair, play
 from violetstack.rehearsal.clients import ask_platform
 from violetstack.rehearsal.fleet.fault_shim import Call, ProcessFaults, build_shim
