--- a/violetstack/estimation/statistics.py
+++ b/violetstack/estimation/statistics.py
@@ -98,9 +98,8 @@
         self.cached_tokens_found = DecayingSum(2 * LEARNING_WINDOW_MS)
         self.prefills = DecayingSum(12 * LEARNING_WINDOW_MS)
         self.decodes = DecayingSum(12 * LEARNING_WINDOW_MS)
-        self.prefill_pool_sizes = DecayingSum(
-            12 * LEARNING_WINDOW_MS
-        )  # sum of pool sizes, one for each prefill
+        # Sums of the pool sizes at each prefill and decode.
+        self.prefill_pool_sizes = DecayingSum(12 * LEARNING_WINDOW_MS)
         self.decode_pool_sizes = DecayingSum(12 * LEARNING_WINDOW_MS)
         allowance_per_s = sum(tenant.quota_per_s for tenant in settings.tenants)
         self.prior_rate = TENANT_LOAD_PRIOR * allowance_per_s / 1000.0 / settings.dispatcher_count
--- a/violetstack/policy/request_lifecycle.py
+++ b/violetstack/policy/request_lifecycle.py
@@ -137,7 +137,7 @@
             self._give_up(request)
             return
         quota = state.tenant_quotas.get(request.params.tenant_index)
-        if request.sent == 0 and quota is not None:
+        if request.attempts_sent == 0 and quota is not None:
             quota.take()
         self._send(request, host, is_prefill=is_prefill)
         reserves_ahead = is_prefill and state.settings.reserve_ahead
@@ -164,7 +164,7 @@
             self._tracker.drop_reservation(request)
             request.slot.hosts_tried = []
             host = self._placement.choose_decode_host(request, request.state_host)
-        if host is None or request.sent >= request.max_attempts:
+        if host is None or request.attempts_sent >= request.max_attempts:
             self._give_up(request)
             return
         self._send(request, host, is_prefill=False)
@@ -233,4 +233,4 @@
         """Rule 5: without an attempt in flight, releases what hosts hold for the request."""
         if request.holds_remote_state:
             self._state.act(ReleaseState(request.id))
-        self._tracker.drop_held(request)
+        self._tracker.drop_held_state(request)
--- a/violetstack/policy/retry.py
+++ b/violetstack/policy/retry.py
@@ -63,7 +63,7 @@
         MEDIANS_PER_ATTEMPT * recent_times.median(state.now),
     )
     timeout_ms /= state.load.capacity_fraction(attempt.endpoint, state.now)
-    attempts_left = request.max_attempts - request.sent
+    attempts_left = request.max_attempts - request.attempts_sent
     attempts_needed = (FULL_ATTEMPTS if attempt.is_prefill else DECODE_ATTEMPTS) + SPARE_ATTEMPTS
     repeatable = attempt.is_prefill or class_settings.idempotency is Idempotency.IDEMPOTENT
     return timeout_ms if repeatable and attempts_left >= attempts_needed else request.deadline - state.now
@@ -82,6 +82,6 @@
     `attempts_needed` is the number of attempts that would complete the request from here.
     """
     too_late = now >= request.deadline - CUTOFF_MS
-    if too_late or request.max_attempts - request.sent < attempts_needed:
+    if too_late or request.max_attempts - request.attempts_sent < attempts_needed:
         return False
     return request.route is None or request.route.take_retry(now)
--- a/violetstack/routing/conditions.py
+++ b/violetstack/routing/conditions.py
@@ -255,9 +255,9 @@
             return _deduplicated([box for part in condition.parts for box in _to_boxes(part, expected)])
 
 
-def _deduplicated(found: list[Box]) -> list[Box]:
+def _deduplicated(boxes: list[Box]) -> list[Box]:
     """Removes duplicates. Raises TooManyBoxesError if more than MAX_BOXES are left."""
-    found = list(dict.fromkeys(found))
-    if len(found) > MAX_BOXES:
+    boxes = list(dict.fromkeys(boxes))
+    if len(boxes) > MAX_BOXES:
         raise TooManyBoxesError(f"more than {MAX_BOXES} separate cases")
-    return found
+    return boxes
--- a/violetstack/routing/generations.py
+++ b/violetstack/routing/generations.py
@@ -147,7 +147,7 @@
         return self.current
 
     def update_endpoints(self, now: float, update: EndpointUpdate) -> None:
-        """Passes a change of the endpoint list to every generation that has open requests."""
+        """Applies an endpoint update to the current and all previous generations."""
         if update.scope is UpdateScope.FAILED:
             return
         healthy: dict[str, HostAttributes] = {}
@@ -203,9 +203,8 @@
         if isinstance(request_route, RequestRoute):
             request_route.generation.open_requests += 1
             if request_route.generation is not self.current and request_route.generation not in self.previous:
-                self.previous.append(
-                    request_route.generation
-                )  # routed just before a reload, accepted after it
+                # Routed just before a reload, accepted after it.
+                self.previous.append(request_route.generation)
             if request_route.retry_budget is not None:
                 request_route.retry_budget.add_request(now)
 
--- a/violetstack/routing/pools.py
+++ b/violetstack/routing/pools.py
@@ -9,8 +9,8 @@
     recovering  enough members for the recovery delay  -> usable
 
 The recovery delay is `return_after_ms`, doubled for each consecutive loss within a minute of a recovery, up
-to eight times, so that a flapping pool gets its traffic back less and less often. Before its first loss a
-pool is usable as soon as it has enough members, since a start is not a recovery.
+to a factor of eight, so that a flapping pool gets its traffic back less and less often. Before its first loss
+a pool is usable as soon as it has enough members, since a start is not a recovery.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from violetstack.policy_api import Endpoint, Role
 from violetstack.routing.conditions import ALWAYS, Condition, Values, holds
 
-FLAP_MS = 60_000.0
-MAX_DOUBLINGS = 3
+FLAP_MS = 60_000.0  # a loss within this time after a recovery counts as flapping
+MAX_DOUBLINGS = 3  # of the recovery delay
 
 
 @dataclass(frozen=True, slots=True)
--- a/violetstack/routing/regions.py
+++ b/violetstack/routing/regions.py
@@ -214,46 +214,59 @@
     def route_of(table: Partition, rank: int | None) -> Route | None:
         return None if rank is None else table.routes[rank]
 
-    def compare(a: Node | None, b: Node | None, path: tuple[str, ...]) -> None:
-        if a is None or b is None or (id(a), id(b)) in unchanged or len(changes) >= MAX_CHANGES:
+    def compare(old_node: Node | None, new_node: Node | None, path: tuple[str, ...]) -> None:
+        if (
+            old_node is None
+            or new_node is None
+            or (id(old_node), id(new_node)) in unchanged
+            or len(changes) >= MAX_CHANGES
+        ):
             return  # one side has no such value: a class or tenant that was removed or added
         count_before = len(changes)
-        if isinstance(a, Leaf) and isinstance(b, Leaf):
-            _leaves(a, b, path)
-        elif isinstance(a, Undecided) or isinstance(b, Undecided):
+        if isinstance(old_node, Leaf) and isinstance(new_node, Leaf):
+            _compare_leaves(old_node, new_node, path)
+        elif isinstance(old_node, Undecided) or isinstance(new_node, Undecided):
             changes.append(RoutingChange(" and ".join([*path, "not decided: too many cases"]), None, None))
         else:
-            _branches(a, b, path)
+            _compare_branches(old_node, new_node, path)
         if len(changes) == count_before:
-            unchanged.add((id(a), id(b)))
-
-    def _branches(a: Node, b: Node, path: tuple[str, ...]) -> None:
-        level = min(node.level for node in (a, b) if isinstance(node, Branch))
-        left = a if isinstance(a, Branch) and a.level == level else None
-        right = b if isinstance(b, Branch) and b.level == level else None
-        names = dict.fromkeys([*(left.children if left else ()), *(right.children if right else ())])
+            unchanged.add((id(old_node), id(new_node)))
+
+    def _compare_branches(old_node: Node, new_node: Node, path: tuple[str, ...]) -> None:
+        level = min(node.level for node in (old_node, new_node) if isinstance(node, Branch))
+        old_branch = old_node if isinstance(old_node, Branch) and old_node.level == level else None
+        new_branch = new_node if isinstance(new_node, Branch) and new_node.level == level else None
+        names = dict.fromkeys(
+            [*(old_branch.children if old_branch else ()), *(new_branch.children if new_branch else ())]
+        )
         groups: dict[tuple[int, int], tuple[Node | None, Node | None, list[str]]] = {}
         for name in names:
-            x = left.children.get(name, left.rest) if left else a
-            y = right.children.get(name, right.rest) if right else b
-            groups.setdefault((id(x), id(y)), (x, y, []))[2].append(name)
+            old_child = old_branch.children.get(name, old_branch.rest) if old_branch else old_node
+            new_child = new_branch.children.get(name, new_branch.rest) if new_branch else new_node
+            groups.setdefault((id(old_child), id(new_child)), (old_child, new_child, []))[2].append(name)
         attribute = CATEGORICAL_ATTRIBUTES[level]
-        for x, y, values in groups.values():
+        for old_child, new_child, values in groups.values():
             one_value = f"{attribute} == {values[0]}"
             condition = one_value if len(values) == 1 else f"{attribute} in {{{', '.join(sorted(values))}}}"
-            compare(x, y, (*path, condition))
+            compare(old_child, new_child, (*path, condition))
         others = _other_names_condition(new, level, list(names))
-        compare(left.rest if left else a, right.rest if right else b, (*path, others))
-
-    def _leaves(a: Leaf, b: Leaf, path: tuple[str, ...]) -> None:
-        boundaries = sorted({*a.starts, *b.starts})
+        compare(
+            old_branch.rest if old_branch else old_node,
+            new_branch.rest if new_branch else new_node,
+            (*path, others),
+        )
+
+    def _compare_leaves(old_node: Leaf, new_node: Leaf, path: tuple[str, ...]) -> None:
+        boundaries = sorted({*old_node.starts, *new_node.starts})
         for index, low in enumerate(boundaries):
-            x = route_of(old, a.winners[bisect_right(a.starts, low) - 1])
-            y = route_of(new, b.winners[bisect_right(b.starts, low) - 1])
-            if _target(x) != _target(y):
+            old_route = route_of(old, old_node.winners[bisect_right(old_node.starts, low) - 1])
+            new_route = route_of(new, new_node.winners[bisect_right(new_node.starts, low) - 1])
+            if _target(old_route) != _target(new_route):
                 high = boundaries[index + 1] if index + 1 < len(boundaries) else UNBOUNDED
                 changes.append(
-                    RoutingChange(" and ".join([*path, *_interval(low, high)]) or "all requests", x, y)
+                    RoutingChange(
+                        " and ".join([*path, *_interval(low, high)]) or "all requests", old_route, new_route
+                    )
                 )
 
     compare(old.root, new.root, ())
--- a/violetstack/tracking/in_flight.py
+++ b/violetstack/tracking/in_flight.py
@@ -41,7 +41,7 @@
         cost = state.load.uncached_prefill_cost(host, request, state.statistics.cache_trust(state.now))
         attempt = Attempt(
             request,
-            request.sent,
+            request.attempts_sent,
             host,
             is_prefill=is_prefill,
             sent_at=state.now,
@@ -49,7 +49,7 @@
             prefill_cost=cost,
             cost_at_send=cost + state.load.prefill_cost_in_flight(host),
         )
-        request.sent += 1
+        request.attempts_sent += 1
         request.in_flight[attempt.number] = attempt
         host.in_flight[(request.id, attempt.number)] = attempt
         if request.id in host.reservations:
@@ -67,7 +67,7 @@
             return
         attempt.started = True
         attempt.request.started = True
-        self.drop_held(attempt.request)
+        self.drop_held_state(attempt.request)
         record_start(self._state, attempt, event)
 
     def end_attempt(self, event: AttemptFinished) -> Attempt | None:
@@ -102,7 +102,7 @@
         request.slot.host = None
         request.slot.reserved = False
 
-    def drop_held(self, request: RequestState) -> None:
+    def drop_held_state(self, request: RequestState) -> None:
         """Records that neither a slot nor prefilled state is held for the request."""
         self.drop_reservation(request)
         request.state_host = None
--- a/violetstack/tracking/request.py
+++ b/violetstack/tracking/request.py
@@ -98,7 +98,7 @@
         self.shortest_objective_ms -= class_settings.latency_objective_ms
         self.tokens = params.prompt_tokens + _answer_tokens(params, class_settings)
 
-        self.sent = 0  # number of attempts so far
+        self.attempts_sent = 0  # number of attempts so far
         self.in_flight: dict[int, Attempt] = {}  # by number
         self.failed_at: list[TrackedEndpoint] = []
         self.first_attempt_with_effect: Attempt | None = None  # the first attempt that may have been executed
