--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The ordinary path, as the design page words it."""
+"""The mechanism of the design page, in normal operation."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 from violetstack.tracking.request import RequestState
 
 
-def test_price_is_quadratic_plus_linear() -> None:
+def test_the_prefill_cost_is_quadratic_plus_linear() -> None:
     request = Request("q", 0, 0, None, 1000.0, None, None, 2000.0, 0.0, 200.0, False, False)
     state = RequestState(request, IDEMPOTENT_CLASS, IDEMPOTENT_CLASS.latency_objective_ms, 4, 0.0)
     assert state.prefill_cost == pytest.approx(4.25e-5 * 2000**2 + 6.8e-3 * 2000)
 
 
-def test_the_read_goes_where_the_own_backlog_is_smallest() -> None:
+def test_a_prefill_goes_to_the_host_with_the_smallest_own_load() -> None:
     harness = RouterHarness()
     harness.submit(prompt_tokens=6000.0)
-    busy = harness.only_action(SendAttempt).server
+    busy_host = harness.only_action(SendAttempt).server
     harness.submit(prompt_tokens=2000.0)
-    assert harness.only_action(SendAttempt).server != busy
+    assert harness.only_action(SendAttempt).server != busy_host
 
 
 def test_one_long_prompt_outweighs_several_short_ones() -> None:
     harness = RouterHarness()
     harness.submit(prompt_tokens=8000.0)
-    long_at = harness.only_action(SendAttempt).server
-    others = {harness.sent_attempts[harness.submit(prompt_tokens=1000.0)][0].server for _ in range(5)}
-    assert long_at not in others
+    long_prompt_host = harness.only_action(SendAttempt).server
+    other_hosts = {harness.sent_attempts[harness.submit(prompt_tokens=1000.0)][0].server for _ in range(5)}
+    assert long_prompt_host not in other_hosts
 
 
-def test_every_reader_below_zero_still_serves() -> None:
+def test_prefill_hosts_with_negative_freeness_are_still_used() -> None:
     harness = RouterHarness()
     for _ in range(40):
         harness.submit(prompt_tokens=8000.0)
@@ -52,7 +52,7 @@
     assert max(freeness.values()) < 0
 
 
-def test_among_near_best_the_sessions_last_reader_wins() -> None:
+def test_among_near_best_hosts_the_last_prefill_host_of_the_session_is_chosen() -> None:
     harness = RouterHarness(*(make_endpoint(f"r{i}", 0) for i in range(8)), *DECODE_HOSTS)
     first = harness.complete_request(session="s", prompt_tokens=500.0)
     for _ in range(6):
@@ -60,40 +60,40 @@
         assert harness.sent_attempts[again][0].server == harness.sent_attempts[first][0].server
 
 
-def test_a_session_does_not_follow_its_reader_past_the_near_best() -> None:
+def test_a_session_leaves_a_prefill_host_that_is_not_near_best() -> None:
     harness = RouterHarness(classes=(replace(IDEMPOTENT_CLASS, latency_objective_ms=60_000.0),))
     harness.complete_request(session="s", prompt_tokens=500.0)
-    asked = [harness.submit(prompt_tokens=9000.0, session="s", expires_in_ms=90_000.0) for _ in range(4)]
-    assert {harness.sent_attempts[request][0].server for request in asked} == {"r1", "r2"}
+    requests = [harness.submit(prompt_tokens=9000.0, session="s", expires_in_ms=90_000.0) for _ in range(4)]
+    assert {harness.sent_attempts[request][0].server for request in requests} == {"r1", "r2"}
 
 
-def test_a_shared_beginning_keeps_to_one_reader_and_all_fronts_agree() -> None:
+def test_all_dispatchers_send_a_shared_prefix_to_the_same_prefill_host() -> None:
     harnesses = [
         RouterHarness(*(make_endpoint(f"r{i}", 0) for i in range(8)), *DECODE_HOSTS, seed=seed)
         for seed in (1, 2, 3)
     ]
-    asked = [
+    requests = [
         (harness, harness.complete_request(prefix_id="p", prompt_tokens=500.0))
         for harness in harnesses
         for _ in range(4)
     ]
-    picks = {harness.sent_attempts[request][0].server for harness, request in asked}
-    assert len(picks) == 1
+    chosen_hosts = {harness.sent_attempts[request][0].server for harness, request in requests}
+    assert len(chosen_hosts) == 1
 
 
-def test_the_sessions_of_one_beginning_are_spread_alike_at_all_fronts() -> None:
-    """Grown deployments: a session comes to many fronts, and a hot beginning is too much for one reader."""
-    picks: dict[str, set[str]] = {}
+def test_all_dispatchers_spread_the_sessions_of_a_prefix_over_the_same_hosts() -> None:
+    """Large deployments: a session arrives at many dispatchers, and a hot prefix overloads one host."""
+    chosen_hosts: dict[str, set[str]] = {}
     for seed in range(5):
         harness = RouterHarness(*(make_endpoint(f"r{i}", 0) for i in range(20)), *DECODE_HOSTS, seed=seed)
         for n in range(40):
             request = harness.complete_request(prefix_id="p", session=f"s{n}", prompt_tokens=500.0)
-            picks.setdefault(f"s{n}", set()).add(harness.sent_attempts[request][0].server)
-    assert all(len(at) == 1 for at in picks.values())
-    assert 2 <= len(set.union(*picks.values())) <= 5
+            chosen_hosts.setdefault(f"s{n}", set()).add(harness.sent_attempts[request][0].server)
+    assert all(len(hosts) == 1 for hosts in chosen_hosts.values())
+    assert 2 <= len(set.union(*chosen_hosts.values())) <= 5
 
 
-def test_near_best_writers_do_not_fall_to_the_first_in_the_list() -> None:
+def test_among_near_best_decode_hosts_the_choice_is_random() -> None:
     first = set()
     for seed in range(10):
         harness = RouterHarness(*PREFILL_HOSTS, *(make_endpoint(f"w{i}", 1) for i in range(10)), seed=seed)
@@ -102,7 +102,7 @@
     assert len(first) > 3
 
 
-def test_a_slow_readers_learned_speed_falls_and_the_unheard_count_average() -> None:
+def test_a_slow_prefill_host_gets_a_low_speed_and_a_new_one_the_average() -> None:
     harness = RouterHarness()
     load = harness.state.load
     for _ in range(12):
@@ -115,20 +115,20 @@
     assert speeds["r1"] < load.prefill_speed(harness.endpoint("r3"), harness.now) < speeds["r2"]
 
 
-def test_a_place_is_held_with_the_read_and_taken_by_the_send() -> None:
+def test_a_slot_is_reserved_with_the_prefill_and_used_by_the_decode() -> None:
     harness = RouterHarness()
     request = harness.submit()
-    place = harness.only_action(ReserveDecodeSlot)
+    reservation = harness.only_action(ReserveDecodeSlot)
     assert [type(a) for a in harness.actions if not isinstance(a, StartTimer)] == [
         SendAttempt,
         ReserveDecodeSlot,
     ]
     harness.handle(ReservationResult(request, harness.sent_attempts[request][0].server, 0, True))
     harness.finish_attempt(request, AttemptStatus.PREFILLED)
-    assert harness.only_action(SendAttempt).server == place.server
+    assert harness.only_action(SendAttempt).server == reservation.server
 
 
-def test_without_a_place_the_next_writer_is_tried() -> None:
+def test_after_a_refused_reservation_the_next_decode_host_is_tried() -> None:
     harness = RouterHarness()
     request = harness.submit()
     first = harness.only_action(ReserveDecodeSlot).server
@@ -136,7 +136,7 @@
     assert harness.only_action(ReserveDecodeSlot).server != first
 
 
-def test_no_place_is_asked_for_where_the_site_has_none() -> None:
+def test_without_reserve_ahead_no_slot_is_reserved() -> None:
     harness = RouterHarness(reserve_ahead=False)
     request = harness.submit()
     assert not harness.actions_of(ReserveDecodeSlot)
@@ -144,7 +144,7 @@
     assert harness.only_action(SendAttempt).server in ("w1", "w2")
 
 
-def test_writers_go_by_own_streams_in_tokens_without_reports() -> None:
+def test_without_reports_decode_hosts_are_compared_by_own_tokens() -> None:
     harness = RouterHarness()
     request = harness.submit(prompt_tokens=30_000.0)
     first = harness.only_action(ReserveDecodeSlot).server
@@ -153,7 +153,7 @@
     assert harness.only_action(ReserveDecodeSlot).server != first
 
 
-def test_writers_go_by_reported_share_plus_own_streams_since() -> None:
+def test_decode_hosts_are_compared_by_reported_share_plus_own_tokens_since() -> None:
     harness = RouterHarness(load_report_fields=("x0",))
     for name, share in (("w1", 0.7), ("w2", 0.2)):
         harness.state.load.add_report(harness.endpoint(name), (share,), harness.now)
@@ -164,7 +164,7 @@
     assert harness.only_action(ReserveDecodeSlot).server == "w1"
 
 
-def test_the_hint_stands_for_the_told_maximum() -> None:
+def test_the_expected_answer_replaces_the_token_limit() -> None:
     request = Request("q", 0, 0, None, 1000.0, 2000.0, None, 1000.0, 0.0, 500.0, False, False)
     assert (
         RequestState(request, IDEMPOTENT_CLASS, IDEMPOTENT_CLASS.latency_objective_ms, 4, 0.0).tokens
@@ -172,20 +172,20 @@
     )
 
 
-def test_near_best_writers_in_the_readers_cell_then_zone_are_preferred() -> None:
-    reader = make_endpoint("r1", 0, cell=3, zone=1)
-    far = make_endpoint("w1", 1, cell=1)
-    zone = make_endpoint("w2", 1, cell=2, zone=1)
-    cell = make_endpoint("w3", 1, cell=3, zone=1)
-    harness = RouterHarness(reader, far, zone, cell)
+def test_among_near_best_decode_hosts_the_cell_of_the_prefill_host_then_its_zone_is_preferred() -> None:
+    prefill_host = make_endpoint("r1", 0, cell=3, zone=1)
+    elsewhere = make_endpoint("w1", 1, cell=1)
+    same_zone = make_endpoint("w2", 1, cell=2, zone=1)
+    same_cell = make_endpoint("w3", 1, cell=3, zone=1)
+    harness = RouterHarness(prefill_host, elsewhere, same_zone, same_cell)
     harness.submit()
     assert harness.only_action(ReserveDecodeSlot).server == "w3"
-    harness = RouterHarness(reader, far, zone)
+    harness = RouterHarness(prefill_host, elsewhere, same_zone)
     harness.submit()
     assert harness.only_action(ReserveDecodeSlot).server == "w2"
 
 
-def test_a_mixed_server_stands_in_both_lists() -> None:
+def test_a_mixed_host_is_in_both_pools() -> None:
     harness = RouterHarness(make_endpoint("m1", 2))
     request = harness.submit()
     assert harness.only_action(SendAttempt).server == "m1"
@@ -197,7 +197,7 @@
     assert {host.name for host in harness.state.endpoints.prefill_hosts} == {"r1", "m1"}
 
 
-def test_a_writer_reads_itself_where_it_may_and_no_reader_is_left() -> None:
+def test_a_decode_host_prefills_if_allowed_and_no_prefill_host_is_left() -> None:
     harness = RouterHarness(*DECODE_HOSTS, decode_hosts_prefill=True)
     harness.submit()
     assert harness.only_action(SendAttempt).server in ("w1", "w2")
@@ -219,7 +219,7 @@
     assert logs[0] == logs[1]
 
 
-def test_reads_that_only_time_out_leave_a_speed_to_divide_by() -> None:
+def test_prefills_that_only_time_out_leave_a_speed_above_zero() -> None:
     harness = RouterHarness(max_attempts=2)
     for _ in range(30):
         harness.finish_attempt(harness.submit(prompt_tokens=10.0), AttemptStatus.TIMEOUT, after=900.0)
@@ -227,18 +227,18 @@
     assert all(harness.state.load.prefill_speed(host, harness.now) > 0 for host in hosts)
 
 
-def test_a_reader_that_keeps_the_session_is_worth_waiting_for() -> None:
-    """Small differences of backlog moved sessions off the reader that kept them, and readers saturated."""
+def test_a_session_stays_at_its_prefill_host_despite_small_differences_of_load() -> None:
+    """Regression: small differences of load moved sessions away from cached prompts, and hosts saturated."""
     harness = RouterHarness(*(make_endpoint(f"r{i}", 0) for i in range(4)), *DECODE_HOSTS)
     request = harness.complete_request(session="s", prompt_tokens=6000.0)
-    home = harness.sent_attempts[request][0].server
+    host = harness.sent_attempts[request][0].server
     for _ in range(8):
         harness.submit(prompt_tokens=6000.0)
     again = harness.submit(session="s", prompt_tokens=6400.0)
-    assert harness.sent_attempts[again][0].server == home
+    assert harness.sent_attempts[again][0].server == host
 
 
-def test_claims_that_are_not_found_lose_their_weight() -> None:
+def test_expected_cached_tokens_that_are_not_found_lose_their_weight() -> None:
     harness = RouterHarness()
     for i in range(20):
         request = harness.submit(session="s", prompt_tokens=3000.0)
@@ -251,12 +251,12 @@
             assert uncached_cost > 0.8 * state.prefill_cost
 
 
-def test_a_held_place_is_taken_even_if_another_writer_has_become_freer() -> None:
-    """The note names the reader; matched against the writer, every held place was thrown away."""
+def test_a_reserved_slot_is_used_even_if_another_decode_host_has_become_freer() -> None:
+    """Regression: the event names the prefill host; compared with the decode host, no slot was ever used."""
     harness = RouterHarness(PREFILL_HOSTS[0], *DECODE_HOSTS)
     first = harness.submit(prompt_tokens=20_000.0)
-    place = harness.only_action(ReserveDecodeSlot).server
+    reserved_host = harness.only_action(ReserveDecodeSlot).server
     harness.handle(ReservationResult(first, "r1", 0, True))
-    harness.endpoint(place).statistics.penalty.add(harness.now, 1.0)
+    harness.endpoint(reserved_host).statistics.penalty.add(harness.now, 1.0)
     harness.finish_attempt(first, AttemptStatus.PREFILLED)
-    assert harness.only_action(SendAttempt).server == place
+    assert harness.only_action(SendAttempt).server == reserved_host
