--- a/violetstack/core/execution.py
+++ b/violetstack/core/execution.py
@@ -25,7 +25,7 @@
     """
     if attempt.is_prefill or spec.idempotency is Idempotency.IDEMPOTENT:
         return True
-    first = min(_earlier_executions(attempt), key=lambda each: each.sent_at, default=None)
+    first = min(_earlier_executions(attempt), key=lambda execution: execution.sent_at, default=None)
     if first is None:
         return True
     if spec.idempotency is Idempotency.NON_IDEMPOTENT or now >= first.sent_at + spec.deduplication_window_ms:
--- a/violetstack/core/hold_manager.py
+++ b/violetstack/core/hold_manager.py
@@ -49,9 +49,9 @@
     def apply(self, now: float, request: OpenRequest, event: HoldEvent) -> None:
         """Applies an event to the request's hold, and reschedules its release if the clock has changed."""
         hold = request.hold
-        before = (hold.state is HoldState.SETTLING, hold.unclaimed_since)
+        state_before = (hold.state is HoldState.SETTLING, hold.unclaimed_since)
         hold.apply(now, event)
-        if (hold.state is HoldState.SETTLING, hold.unclaimed_since) != before:
+        if (hold.state is HoldState.SETTLING, hold.unclaimed_since) != state_before:
             self._schedule_release(now, request)
 
     def connect_timeout_ms(self, now: float, request: OpenRequest) -> float | None:
@@ -138,10 +138,10 @@
             since_ms=round(hold.unclaimed_ms(now)),
             cause=hold.cause.value if hold.cause is not None else "",
             attempts=[
-                (each.server, each.request_written, round(now - each.sent_at))
-                for each in request.in_flight.values()
+                (attempt.server, attempt.request_written, round(now - attempt.sent_at))
+                for attempt in request.in_flight.values()
             ],
-            places=[(each.server, each.outcome.value) for each in request.reservation_log],
+            places=[(entry.server, entry.outcome.value) for entry in request.reservation_log],
         )
 
     def _release_overdue(self, now: float, request: OpenRequest) -> None:
@@ -170,7 +170,7 @@
             id=request.id,
             held=request.hold.state.value,
             held_ms=round(request.hold.unclaimed_ms(now)),
-            in_flight=[each.server for each in request.in_flight.values()],
+            in_flight=[attempt.server for attempt in request.in_flight.values()],
         )
         self._state.driver.release_state(call)
 
--- a/violetstack/core/invariants.py
+++ b/violetstack/core/invariants.py
@@ -107,7 +107,9 @@
     def discard_execution(self, attempt: Attempt) -> None:
         """Removes a recorded execution that did not happen: the host rejected the attempt or never got it."""
         request = attempt.request
-        request.executions = [each for each in request.executions if each.attempt_number != attempt.number]
+        request.executions = [
+            execution for execution in request.executions if execution.attempt_number != attempt.number
+        ]
 
     # --- responses and the end of records ---
 
@@ -172,7 +174,7 @@
         "attempt": attempt.number if attempt is not None else None,
         "server": attempt.server if attempt is not None else None,
         "answer": request.outcome.value if request.outcome is not None else None,
-        "attempts": [each.as_row() for each in request.attempt_log],
-        "in_flight": [(each.server, each.request_written) for each in request.in_flight.values()],
-        "places": [(each.server, each.outcome.value) for each in request.reservation_log],
+        "attempts": [entry.as_row() for entry in request.attempt_log],
+        "in_flight": [(other.server, other.request_written) for other in request.in_flight.values()],
+        "places": [(entry.server, entry.outcome.value) for entry in request.reservation_log],
     }
--- a/violetstack/core/lifecycle.py
+++ b/violetstack/core/lifecycle.py
@@ -158,7 +158,7 @@
             answer=outcome.value if outcome is not None else "",
             ms=round(request.finished_at - request.arrived_at),
             first_ms=round(request.first_event_at - request.arrived_at) if request.first_event_at else None,
-            attempts=[each.as_row() for each in request.attempt_log],
-            places=[(each.server, each.outcome.value) for each in request.reservation_log],
+            attempts=[entry.as_row() for entry in request.attempt_log],
+            places=[(entry.server, entry.outcome.value) for entry in request.reservation_log],
             **route_fields,
         )
--- a/violetstack/core/records.py
+++ b/violetstack/core/records.py
@@ -266,7 +266,7 @@
     @property
     def executing(self) -> bool:
         """Whether a host may be executing the request; prefills do not count."""
-        return any(each.request_written and not each.is_prefill for each in self.in_flight.values())
+        return any(attempt.request_written and not attempt.is_prefill for attempt in self.in_flight.values())
 
     @property
     def may_have_run_or_is_running(self) -> bool:
@@ -275,9 +275,9 @@
 
     def unresponsive_hosts(self) -> set[str]:
         """Returns the hosts that have not responded to an attempt of this request yet, or have timed out."""
-        silent = {attempt.server for attempt in self.in_flight.values() if attempt.awaits_response}
-        silent.update(entry.server for entry in self.attempt_log if entry.status is AttemptStatus.TIMEOUT)
-        return silent
+        hosts = {attempt.server for attempt in self.in_flight.values() if attempt.awaits_response}
+        hosts.update(entry.server for entry in self.attempt_log if entry.status is AttemptStatus.TIMEOUT)
+        return hosts
 
     def close(self) -> None:
         """Drops the references to the front and the connection.
--- a/violetstack/core/timers.py
+++ b/violetstack/core/timers.py
@@ -54,7 +54,7 @@
         timer.callback = None
         self._cancelled += 1
         if self._cancelled > MIN_CANCELLED_TO_COMPACT + len(self._heap) // 2:
-            self._heap = [each for each in self._heap if each.callback is not None]
+            self._heap = [other for other in self._heap if other.callback is not None]
             heapq.heapify(self._heap)
             self._cancelled = 0
 
