--- a/violetstack/core/send_guard.py
+++ b/violetstack/core/send_guard.py
@@ -21,13 +21,13 @@
 
     REQUEST_OVER = "request is over"
     CLIENT_DISCONNECTED = "client has gone"
-    DEADLINE = "time is up"
+    DEADLINE_EXCEEDED = "time is up"
     HOST_UNLISTED = "host is not listed"
     HOST_DRAINING = "host drains"
-    REPETITION = "may not be repeated"
-    CLAIM = "claim is not held"
-    ATTEMPTS = "no attempts left"
-    HEDGE = "no second attempt beside another"
+    REPETITION_FORBIDDEN = "may not be repeated"
+    CLAIM_NOT_HELD = "claim is not held"
+    NO_ATTEMPTS_LEFT = "no attempts left"
+    HEDGING_FORBIDDEN = "no second attempt beside another"
     PREFILL_ENDED = "prefill is not in flight"
 
 
@@ -50,12 +50,16 @@
         if attempt.endpoint is None:
             return WithholdReason.HOST_UNLISTED
         if len(request.in_flight) > 1 and not settings.hedging_allowed:
-            return WithholdReason.HEDGE
+            return WithholdReason.HEDGING_FORBIDDEN
         if attempt.number >= settings.max_attempts:
-            return WithholdReason.ATTEMPTS
+            return WithholdReason.NO_ATTEMPTS_LEFT
         if attempt.deadline <= now:
-            return WithholdReason.DEADLINE
-        return None if may_execute(now, attempt, self._class_settings(request)) else WithholdReason.REPETITION
+            return WithholdReason.DEADLINE_EXCEEDED
+        return (
+            None
+            if may_execute(now, attempt, self._class_settings(request))
+            else WithholdReason.REPETITION_FORBIDDEN
+        )
 
     def check_first_byte(self, now: float, attempt: Attempt) -> WithholdReason | None:
         """Checks whether the attempt's first byte may be written, which a draining host does not accept."""
@@ -75,10 +79,14 @@
         if attempt.finished or not request.accepts_attempts:
             return WithholdReason.REQUEST_OVER
         if now >= attempt.deadline:
-            return WithholdReason.DEADLINE
+            return WithholdReason.DEADLINE_EXCEEDED
         if not request.sending_allowed():
-            return WithholdReason.CLAIM
-        return None if may_execute(now, attempt, self._class_settings(request)) else WithholdReason.REPETITION
+            return WithholdReason.CLAIM_NOT_HELD
+        return (
+            None
+            if may_execute(now, attempt, self._class_settings(request))
+            else WithholdReason.REPETITION_FORBIDDEN
+        )
 
     def check_host(self, server: str) -> WithholdReason | None:
         """Checks whether new calls may be sent to the host."""
