--- a/tests/test_acme.py
+++ b/tests/test_acme.py
@@ -1,4 +1,4 @@
-"""Certificates by ACME: ordered, served, renewed without closing connections, kept if a renewal fails."""
+"""ACME certificates are ordered, served, renewed without closing connections, and kept if renewal fails."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from violetstack.rehearsal.clients import Call, chat_body, chat_headers, connect
 from violetstack.rehearsal.stage import Stage, stage
 
-SHORT = 5.0  # days left: within the time before expiry in which a renewal is due
+SHORT_LIFETIME_DAYS = 5.0  # so close to expiry that a renewal is due at once
 
 
 def play(
@@ -45,7 +45,7 @@
     trio.run(main)
 
 
-async def ask(call: Call) -> bool:
+async def request_is_served(call: Call) -> bool:
     await call.send("POST", "/v1/chat/completions", chat_headers(), chat_body("giro-consulta", stream=False))
     answer = await call.receive()
     call.http.reuse()
@@ -53,8 +53,8 @@
     return answer.outcome == "served"
 
 
-async def serial(on: Stage, trust: ssl.SSLContext) -> int:
-    """Of the certificate that a new connection gets."""
+async def served_serial_number(on: Stage, trust: ssl.SSLContext) -> int:
+    """Returns the serial number of the certificate that a new connection gets."""
     call = await connect(on.chat, trust)
     async with call.stream:
         assert isinstance(call.stream, trio.SSLStream)
@@ -63,13 +63,13 @@
         return x509.load_der_x509_certificate(der).serial_number
 
 
-async def until_served(on: Stage, trust: ssl.SSLContext, number: int) -> None:
+async def wait_until_served(on: Stage, trust: ssl.SSLContext, number: int) -> None:
     while True:
         try:
-            if await serial(on, trust) == number:
+            if await served_serial_number(on, trust) == number:
                 return
         except (trio.BrokenResourceError, OSError):
-            pass  # no certificate yet
+            pass  # no certificate is loaded yet
         await trio.sleep(0.01)
 
 
@@ -78,48 +78,51 @@
 
     async def story(on: Stage, trust: ssl.SSLContext) -> None:
         await authority.until_issued(1)
-        await until_served(on, trust, authority.issued[0].serial_number)
+        await wait_until_served(on, trust, authority.issued[0].serial_number)
         call = await connect(on.chat, trust)
         async with call.stream:
-            assert await ask(call)
+            assert await request_is_served(call)
         assert (tmp_path / "key.pem").stat().st_mode & 0o777 == 0o600
 
     play(tmp_path, authority, story)
 
 
 def test_a_renewed_certificate_is_used_by_new_connections_and_open_ones_stay(tmp_path: Path) -> None:
-    authority = Authority(SHORT)
+    authority = Authority(SHORT_LIFETIME_DAYS)
 
     async def story(on: Stage, trust: ssl.SSLContext) -> None:
         await authority.until_issued(1)
-        await until_served(on, trust, authority.issued[0].serial_number)
+        await wait_until_served(on, trust, authority.issued[0].serial_number)
         call = await connect(on.chat, trust)
         async with call.stream:
-            assert await ask(call)
+            assert await request_is_served(call)
             await authority.until_issued(2)
-            await until_served(on, trust, authority.issued[1].serial_number)
-            assert await ask(call)
+            await wait_until_served(on, trust, authority.issued[1].serial_number)
+            assert await request_is_served(call)
         assert len(authority.issued) == 2
 
     play(tmp_path, authority, story)
 
 
 def test_a_failed_renewal_keeps_the_certificate_in_use(tmp_path: Path) -> None:
-    authority = Authority(SHORT)
+    authority = Authority(SHORT_LIFETIME_DAYS)
 
     async def story(on: Stage, trust: ssl.SSLContext) -> None:
         await authority.until_issued(1)
         authority.refuses = True
         await until(lambda: authority.refused >= 2, 30.0)
-        assert await serial(on, trust) == authority.issued[0].serial_number
+        assert await served_serial_number(on, trust) == authority.issued[0].serial_number
         assert len(authority.issued) == 1
 
     play(tmp_path, authority, story)
 
 
 @pytest.mark.parametrize(
-    ("left", "whole", "due"), [(0, 0, True), (29, 90, True), (31, 90, False), (5, 6, False), (1, 6, True)]
+    ("left_days", "total_days", "due"),
+    [(0, 0, True), (29, 90, True), (31, 90, False), (5, 6, False), (1, 6, True)],
 )
-def test_a_renewal_is_due_in_the_last_third_at_most(left: float, whole: float, due: bool) -> None:
-    """Else certificates that live six days would be ordered at every check."""
-    assert CertificateLifetime(left * 86400.0, whole * 86400.0).is_renewal_due(30.0) is due
+def test_a_renewal_is_due_in_the_last_third_of_the_lifetime_at_the_earliest(
+    left_days: float, total_days: float, due: bool
+) -> None:
+    """Otherwise certificates with a lifetime of six days would be ordered at every check."""
+    assert CertificateLifetime(left_days * 86400.0, total_days * 86400.0).is_renewal_due(30.0) is due
--- a/tests/test_background_writer.py
+++ b/tests/test_background_writer.py
@@ -1,4 +1,4 @@
-"""State records on a disk that hangs: the process ends all the same."""
+"""A process that writes state records to a hanging disk can still end."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 
 class HangingDirectory(StateDirectory):
-    """A folder on a disk that takes no write before `released` is set."""
+    """A directory on a disk that completes no write before `released` is set."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(str(folder))
-        self.writes = threading.Event()
+        self.write_started = threading.Event()
         self.released = threading.Event()
 
     def write(self, name: str, data: bytes) -> None:
-        self.writes.set()
+        self.write_started.set()
         self.released.wait()
         super().write(name, data)
 
 
-@pytest.mark.parametrize("in_background", [True, False], ids=["while it writes", "with the last write"])
+@pytest.mark.parametrize("in_background", [True, False], ids=["in a background write", "in the last write"])
 def test_a_process_ends_while_its_disk_hangs(
     in_background: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The bound on the last write did not hold, since the thread could not be left behind."""
+    """Regression: the timeout of the last write had no effect, since the thread could not be abandoned."""
     monkeypatch.setattr(background_writer, "COMMIT_INTERVAL_S", 0.01)
     directory = HangingDirectory(tmp_path)
 
@@ -46,7 +46,7 @@
                 nursery.start_soon(writer.run)
             else:
                 nursery.start_soon(writer.flush)
-            while not directory.writes.is_set():
+            while not directory.write_started.is_set():
                 await trio.sleep(0.01)
             nursery.cancel_scope.cancel()
 
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -1,4 +1,4 @@
-"""Leases among dispatcher processes that are paused, killed and partitioned, and `violetstack fleet`."""
+"""Leases in fleets whose dispatchers are paused, killed and partitioned, and `violetstack fleet`."""
 
 from __future__ import annotations
 
@@ -59,14 +59,14 @@
 
 
 class CommandResult(NamedTuple):
-    """What a command printed, and its exit status."""
+    """The exit status and the output of a command."""
 
     exit_code: int
     output: str
 
 
 class Fleets:
-    """Three tiers that run at once, on addresses of their own, since they wait for most of their time."""
+    """Three tiers with addresses of their own, run concurrently since they are idle most of the time."""
 
     def __init__(self) -> None:
         self.holder_faults: Result
@@ -90,8 +90,8 @@
     async def _run_shutdown(self) -> None:
         self.shutdown = await FleetRun(SHUTDOWN_PLAN).run()
 
-    async def _command(self, *words: str) -> None:
-        result = await trio.to_thread.run_sync(partial(CliRunner().invoke, main, ["fleet", *words]))
+    async def _command(self, *arguments: str) -> None:
+        result = await trio.to_thread.run_sync(partial(CliRunner().invoke, main, ["fleet", *arguments]))
         self.commands.append(CommandResult(result.exit_code, result.output))
 
     async def _run_rolling_restart(self) -> None:
@@ -117,7 +117,7 @@
 def test_lease_has_one_holder_at_a_time_when_holders_are_paused_killed_and_partitioned(
     fleets: Fleets,
 ) -> None:
-    """The relay audits each broadcast; a breach is two holders, or a fencing token that goes down."""
+    """The relay audits each broadcast; a breach is two holders, or a fencing token that decreases."""
     result = fleets.holder_faults
     assert (result.breaches, result.crashed) == ([], [])
     assert result.answers["served"] > 300
@@ -125,7 +125,7 @@
     tokens = [holder.fencing_token for holder in result.holders]
     assert tokens == sorted(set(tokens))
     assert len(tokens) >= 4
-    for fault in HOLDER_FAULTS:  # its holder is followed by another, after a lease and not much later
+    for fault in HOLDER_FAULTS:  # soon after the lease expires, another dispatcher holds it
         before = [holder for holder in result.holders if holder.first <= fault.at]
         after = [holder for holder in result.holders if holder.first > fault.at]
         assert before
@@ -134,7 +134,7 @@
         assert after[0].first - fault.at < 3.0
 
 
-def test_one_dispatcher_at_a_time_shuts_down_and_each_gets_a_permit(fleets: Fleets) -> None:
+def test_dispatchers_get_their_permits_and_shut_down_one_at_a_time(fleets: Fleets) -> None:
     result = fleets.shutdown
     assert (result.breaches, result.crashed) == ([], [])
     assert result.events["restart_permit_acquired"] == 3
@@ -159,7 +159,7 @@
     assert "is not held here" in resigned.output
 
 
-def test_leases_need_every_peer_to_be_named() -> None:
+def test_leases_require_the_addresses_of_all_peers() -> None:
     def config(size: int, permits: int, **options: Any) -> Config:
         file = msgspec.convert({"duties": {"leave": permits}}, OperatorConfig)
         settings = {**SETTINGS, "fleet_size": size, "me": 0}
--- a/tests/test_transient_socket_errors.py
+++ b/tests/test_transient_socket_errors.py
@@ -1,4 +1,4 @@
-"""Sends and reads that fail for a moment, as for lack of memory: the connections go on."""
+"""Connections survive sends and reads that fail temporarily, for example for lack of memory."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 REQUESTS = 8
 
 
-def fail_often(call: Callable[..., Any], number: int) -> Callable[..., Any]:
-    """The call, of which every third fails."""
-    made = 0
+def fail_periodically(call: Callable[..., Any], error_number: int) -> Callable[..., Any]:
+    """Returns a wrapper of `call` that fails every third time with this error number."""
+    call_count = 0
 
     async def failing(*arguments: Any) -> Any:
-        nonlocal made
-        made += 1
-        if made % PERIOD == 0:
-            raise OSError(number, os.strerror(number))
+        nonlocal call_count
+        call_count += 1
+        if call_count % PERIOD == 0:
+            raise OSError(error_number, os.strerror(error_number))
         return await call(*arguments)
 
     return failing
 
 
-def only_dispatchers(
+def only_for_accepted_sockets(
     call: Callable[..., Any], failing: Callable[..., Any], ports: set[int]
 ) -> Callable[..., Any]:
-    """Fails calls on sockets that the dispatcher has accepted, and no others of this process."""
+    """Uses `failing` for sockets accepted at these ports, and `call` for all others of this process."""
 
     async def choose(sock: trio.socket.SocketType, *arguments: Any) -> Any:
         accepted = sock.fileno() >= 0 and sock.getsockname()[1] in ports
@@ -50,27 +50,27 @@
     return choose
 
 
-@pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM])
+@pytest.mark.parametrize("error_number", [errno.ENOBUFS, errno.ENOMEM])
 @pytest.mark.parametrize("name", ["send", "recv"])
-def test_a_client_s_connection_outlasts_an_error_of_a_moment(
-    name: str, number: int, monkeypatch: pytest.MonkeyPatch
+def test_a_client_connection_survives_a_transient_error(
+    name: str, error_number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection counted as broken, and its request was lost."""
+    """Regression: the connection was treated as broken, and its request was lost."""
 
     async def story(on: Stage) -> None:
         sockets = type(trio.socket.from_stdlib_socket(socket.socket()))
         call = getattr(sockets, name)
-        failing = fail_often(call, number)
-        monkeypatch.setattr(sockets, name, only_dispatchers(call, failing, {on.platform[1]}))
+        failing = fail_periodically(call, error_number)
+        monkeypatch.setattr(sockets, name, only_for_accepted_sockets(call, failing, {on.platform[1]}))
         answers = [await ask_platform(on.platform, f"q{n}", "consulta") for n in range(REQUESTS)]
         assert [answer.outcome for answer in answers] == ["served"] * REQUESTS
 
     play(*pair(*[Act()] * REQUESTS), story=story)
 
 
-@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_a_signal_ends_nothing_while_recv_lacks_memory(number: signal.Signals) -> None:
-    """The event loop's own wake-up socket could not be read: the process ended with all that it had taken."""
+@pytest.mark.parametrize("signal_number", [signal.SIGHUP, signal.SIGTERM])
+def test_a_signal_does_not_end_the_process_while_recv_lacks_memory(signal_number: signal.Signals) -> None:
+    """Regression: the loop's wake-up socket could not be read, which ended the process with its requests."""
     faults = ProcessFaults()
     gate = trio.Event()
 
@@ -84,7 +84,7 @@
             call = await dispatcher.send_request("q1")
             await prefill.until(lambda: prefill.begun == ["q1"])
             faults.fail(Call.RECV, errno.ENOMEM, 1)
-            dispatcher.program.send(number)
+            dispatcher.program.send(signal_number)
             await trio.sleep(0.2)
             faults.stop_failing(Call.RECV)
             gate.set()
