--- a/tests/test_acme.py
+++ b/tests/test_acme.py
@@ -10,7 +10,7 @@
 import trio
 from cryptography import x509
 
-from tests.steady import until
+from tests.process_time import wait_until
 from tests.test_stories import pair
 from violetstack.net.acme import CertificateLifetime
 from violetstack.rehearsal.authority import Authority
@@ -110,7 +110,7 @@
     async def story(on: Stage, trust: ssl.SSLContext) -> None:
         await authority.until_issued(1)
         authority.refuses = True
-        await until(lambda: authority.refused >= 2, 30.0)
+        await wait_until(lambda: authority.refused >= 2, 30.0)
         assert await served_serial_number(on, trust) == authority.issued[0].serial_number
         assert len(authority.issued) == 1
 
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -10,8 +10,8 @@
 import trio.testing
 from msgspec.structs import replace
 
+from tests.process_time import ProcessTimer, wait_until
 from tests.race_helpers import LIMITS, DelayedConnects, send_request
-from tests.steady import Steady, until
 from tests.test_client_disconnect import LARGE_BODY, LateReadingHost
 from tests.test_core import CoreHarness
 from tests.test_stories import pair, play
@@ -70,7 +70,7 @@
             headers = platform_headers("q1", "consulta", Req_Deadline="2000m")
         body = chat_body("giro-consulta") if chat else b'{"messages":[]}'
         await call.send("POST", "/v1/chat/completions", headers, body)
-        await until(lambda: len(reader.told_ms) == 1)
+        await wait_until(lambda: len(reader.told_ms) == 1)
         assert 0.0 < reader.told_ms[0] <= 500.0
 
     play(reader, writer, story=story)
@@ -93,7 +93,7 @@
         await late.requested.wait()
         await trio.sleep(0.2)
         late.may_complete.set()
-        await until(lambda: len(reader.told_ms) == 1)
+        await wait_until(lambda: len(reader.told_ms) == 1)
         assert reader.told_ms[0] <= 800.0
         await call.stream.aclose()
 
@@ -164,7 +164,7 @@
 
     async def story(on: Stage) -> None:
         call = await send_request(on, "q1", Req_Deadline="")
-        time = Steady()
+        time = ProcessTimer()
         answers: list[Answer] = []
 
         async def receive() -> None:
@@ -172,7 +172,7 @@
 
         on.nursery.start_soon(receive)
         while not answers:
-            assert time.look() < 0.45
+            assert time.sample() < 0.45
             await trio.sleep(0.005)
         assert answers[0].status in (500, 503)
         assert writer.runs.total() == 0
--- a/tests/test_background_tasks.py
+++ b/tests/test_background_tasks.py
@@ -6,7 +6,7 @@
 import trio
 import trio.testing
 
-from tests.steady import until
+from tests.process_time import wait_until
 from tests.test_process_pause import GRACE_MS, pause_process
 from tests.test_stories import pair, play
 from violetstack.daemon.background_task import RESTART_DELAY_S, start_background_task
@@ -61,7 +61,7 @@
 
         on.daemon.core.update_endpoints = fail_once  # type: ignore[method-assign]
         on.discovery.tell({**decode_host.row(), "id": "w2", "addr": "127.0.0.1:1", "state": "leaving"})
-        await until(lambda: "w2" in on.daemon.core.draining)
+        await wait_until(lambda: "w2" in on.daemon.core.draining)
         assert not failures
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "served"
 
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -10,9 +10,9 @@
 import trio
 import trio.testing
 
+from tests.process_time import wait_until
 from tests.race_helpers import LIMITS, DelayedConnects, send_request
 from tests.router_harness import SETTINGS as POLICY_SETTINGS
-from tests.steady import until
 from tests.test_chat import with_idempotency_store
 from tests.test_core import CoreHarness
 from tests.test_stories import pair, play
@@ -124,13 +124,13 @@
         core = on.daemon.core
         call = await connect(on.chat)
         await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body("giro-orden"))
-        await until(lambda: len(writer.begun) == 1)
+        await wait_until(lambda: len(writer.begun) == 1)
         await call.stream.aclose()
-        await until(lambda: any(each.client_disconnected for each in core.open_requests.values()))
+        await wait_until(lambda: any(each.client_disconnected for each in core.open_requests.values()))
         await trio.sleep(0.2)
         assert core.open_requests  # it goes on, for a retry to find
         gate.set()
-        await until(lambda: not core.open_requests)
+        await wait_until(lambda: not core.open_requests)
         assert (len(reader.begun), len(writer.begun)) == (1, 1)
 
     play(reader, writer, story=story, chat=with_idempotency_store(tmp_path), settings=KEYED_SETTINGS)
@@ -149,7 +149,7 @@
         await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body("giro-orden"))
         await connects.requested.wait()
         await call.stream.aclose()
-        await until(lambda: not core.open_requests)
+        await wait_until(lambda: not core.open_requests)
         connects.may_complete.set()
         await trio.testing.wait_all_tasks_blocked()
         assert (len(reader.begun), writer.begun) == (1, [])
@@ -219,7 +219,7 @@
         await reader.request_begun.wait()
         await trio.testing.wait_all_tasks_blocked()
         await call.stream.aclose()
-        await until(lambda: all(each.done for each in core.open_requests.values()))
+        await wait_until(lambda: all(each.done for each in core.open_requests.values()))
         await trio.testing.wait_all_tasks_blocked()
         reader.may_read.set()
         await trio.testing.wait_all_tasks_blocked(0.05)
@@ -260,7 +260,7 @@
         new = await send_request(on, "q2", "consulta", Req_Retry="again")
         await old.stream.aclose()
         assert (await new.receive()).outcome == "served"
-        await until(lambda: not core.open_requests)
+        await wait_until(lambda: not core.open_requests)
         assert [len(reader.begun), len(writer.begun)] == [2, 2]  # nothing is sent again for the first
         hold.set()
 
--- a/tests/test_connection_life.py
+++ b/tests/test_connection_life.py
@@ -11,8 +11,8 @@
 import pytest
 import trio
 
+from tests.process_time import wait_until
 from tests.race_helpers import send_request
-from tests.steady import until
 from tests.test_shutdown_deadlines import settings_with_timeout, stop_as_if_asked
 from tests.test_stories import pair
 from violetstack.daemon.shutdown_schedule import ShutdownSchedule
@@ -186,8 +186,8 @@
     with trio.fail_after(LIMIT_S):
         async with stage(reader, writer, settings=settings_with_timeout(15000.0)) as on:
             call = await BRING_INTO[state](on, hold)
-            await until(lambda: len(on.daemon.listeners[0].table.connections) == 1)
-            await until(lambda: only_connection(on).lifecycle.state is state)
+            await wait_until(lambda: len(on.daemon.listeners[0].table.connections) == 1)
+            await wait_until(lambda: only_connection(on).lifecycle.state is state)
             listener = on.daemon.listeners[0]
             stop_as_if_asked(on, STEPS[step])
             async with trio.open_nursery() as nursery:
@@ -196,7 +196,7 @@
                 hold.set()
             assert call.answer.status in OWED[state]
             assert call.answer.whole or call.answer.status == 0
-            await until(lambda: not listener.table.connections)
+            await wait_until(lambda: not listener.table.connections)
             assert not listener.closes.violations
 
 
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -11,8 +11,8 @@
 import trio
 import trio.testing
 
+from tests.process_time import ProcessTimer, wait_until
 from tests.race_helpers import LIMITS, DelayedConnects, send_request
-from tests.steady import Steady, until
 from tests.test_chat import with_idempotency_store
 from tests.test_stories import pair, play
 from violetstack.net.downstream import connection_reader
@@ -54,7 +54,7 @@
 async def connection_to_evict(on: Stage) -> tuple[Call, DownstreamConnection]:
     call = await connect(on.platform)
     listener = on.daemon.listeners[0]
-    await until(lambda: len(listener.table.awaiting_first_request) == 1)
+    await wait_until(lambda: len(listener.table.awaiting_first_request) == 1)
     connection = next(iter(listener.table.awaiting_first_request))
     connection.progress_at -= 1.0  # it may be closed to make room
     return call, connection
@@ -107,7 +107,7 @@
         assert (await call.receive()).outcome == "refused"
         assert counted[0]
         await call.stream.aclose()
-        await until(lambda: not table.busy)
+        await wait_until(lambda: not table.busy)
 
     play(reader, writer, story=story)
 
@@ -134,9 +134,9 @@
         for call in calls:
             await call.stream.aclose()
         core = on.daemon.core
-        await until(lambda: all(request.done for request in core.open_requests.values()), 0.3)
+        await wait_until(lambda: all(request.done for request in core.open_requests.values()), 0.3)
         late.may_complete.set()
-        await until(lambda: not core.open_requests)
+        await wait_until(lambda: not core.open_requests)
         sent = [name for name in left if name in host.begun]
         assert (sent, [what for what in host.calls if what[0] == "POST"]) == ([], [])
 
@@ -158,7 +158,7 @@
         client.sendall(f"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n{head}\r\n".encode() + body)
         client.close()  # all in one step: the dispatcher has not run since the connection was made
         assert (await ask_platform(on.platform, "q2", "consulta")).status == 200
-        await until(lambda: not on.daemon.core.open_requests)
+        await wait_until(lambda: not on.daemon.core.open_requests)
         assert reader.begun == ["q2"]
 
     play(reader, writer, story=story)
@@ -172,7 +172,7 @@
         late = DelayedConnects(on, "r")
         call = await connect(on.platform)
         listener = on.daemon.listeners[0]
-        await until(lambda: bool(listener.table.connections))
+        await wait_until(lambda: bool(listener.table.connections))
         connection = next(iter(listener.table.connections))
         receive = connection.stream.receive_some
 
@@ -189,7 +189,7 @@
         await late.requested.wait()
         call.stream.socket.close()  # type: ignore[attr-defined]
         late.may_complete.set()
-        await until(lambda: not on.daemon.core.open_requests)
+        await wait_until(lambda: not on.daemon.core.open_requests)
         assert (reader.begun, writer.begun) == ([], [])
         assert not connection.lifecycle.closed
 
@@ -202,10 +202,10 @@
 
     async def story(on: Stage) -> None:
         call = await send_request(on, "q1")
-        await until(lambda: reader.begun == ["q1"])
+        await wait_until(lambda: reader.begun == ["q1"])
         await call.stream.send_all(b"x" * 300_000)
         await call.stream.aclose()
-        await until(lambda: not on.daemon.core.open_requests, 0.3)
+        await wait_until(lambda: not on.daemon.core.open_requests, 0.3)
 
     play(reader, writer, story=story)
 
@@ -216,13 +216,13 @@
 
     async def story(on: Stage) -> None:
         call = await send_request(on, "q1")
-        await until(lambda: reader.begun == ["q1"])
+        await wait_until(lambda: reader.begun == ["q1"])
         await call.stream.send_all(b"x" * 3_000_000)
         connection = next(iter(c for c in on.daemon.listeners[0].table.connections if c.lifecycle.answering))
         assert connection.http.unread <= connection_reader.MAX_UNREAD_BYTES + connection_reader.READ_SIZE
         gate.set()
         assert (await call.receive()).outcome == "served"
-        await until(lambda: not on.daemon.listeners[0].table.connections)
+        await wait_until(lambda: not on.daemon.listeners[0].table.connections)
 
     play(reader, writer, story=story)
 
@@ -240,12 +240,12 @@
         self.gaps = []
         await connection.start(200, [("Content-Type", "text/event-stream")])
         for n in range(20):
-            time = Steady()
+            time = ProcessTimer()
             await connection.data(b'data: {"choices":[{"index":0,"delta":{"content":"%d "}}]}\n\n' % n)
             while self.had <= n:
-                time.look()
+                time.sample()
                 await trio.sleep(0.0005)
-            self.gaps.append(time.look())
+            self.gaps.append(time.sample())
         await connection.data(b"data: [DONE]\n\n")
         await connection.end()
 
@@ -281,13 +281,13 @@
     async def story(on: Stage) -> None:
         call = await connect(on.chat)
         await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body("giro-orden"))
-        await until(lambda: len(writer.begun) == 1)
+        await wait_until(lambda: len(writer.begun) == 1)
         await call.stream.aclose()
-        await until(
+        await wait_until(
             lambda: any(request.client_disconnected for request in on.daemon.core.open_requests.values())
         )
         gate.set()
-        await until(lambda: not on.daemon.core.open_requests)
+        await wait_until(lambda: not on.daemon.core.open_requests)
         assert (len(reader.begun), len(writer.begun)) == (1, 1)
         while (again := await ask_chat(on.chat, chat_body("giro-orden"), chat_headers("k1"))).status == 409:
             await trio.sleep(0.01)  # the record's change is on its way to the disk
@@ -306,11 +306,11 @@
     async def story(on: Stage) -> None:
         call = await connect(on.chat)
         await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body("giro-orden"))
-        await until(lambda: len(reader.begun) == 1)
+        await wait_until(lambda: len(reader.begun) == 1)
         await call.stream.aclose()
-        await until(lambda: all(request.done for request in on.daemon.core.open_requests.values()), 0.3)
+        await wait_until(lambda: all(request.done for request in on.daemon.core.open_requests.values()), 0.3)
         gate.set()
-        await until(lambda: not on.daemon.core.open_requests)
+        await wait_until(lambda: not on.daemon.core.open_requests)
         assert (len(writer.begun), [what for what in writer.calls if what[0] == "POST"][1:]) == (0, [])
         while (again := await ask_chat(on.chat, chat_body("giro-orden"), chat_headers("k1"))).status == 409:
             await trio.sleep(0.01)  # the record's change is on its way to the disk
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -8,8 +8,8 @@
 import trio
 import trio.testing
 
+from tests.process_time import wait_until
 from tests.race_helpers import SECOND_RESPONSE, DelayedConnects, recording_attempts, send_request
-from tests.steady import until
 from tests.test_stories import pair, play
 from violetstack.core.records import AttemptLogEntry
 from violetstack.core.remote_hold import HoldEvent
@@ -42,7 +42,7 @@
         await late.requested.wait()
         on.discovery.tell(host.row(state=state))
         core = on.daemon.core
-        await until(lambda: role in core.draining or role not in core.endpoints)
+        await wait_until(lambda: role in core.draining or role not in core.endpoints)
         late.may_complete.set()
         answer = await call.receive()
         assert (answer.outcome, host.begun) == ("refused", [])
@@ -60,7 +60,7 @@
         call = await send_request(on, "q1")
         await call.receive(events=1)
         on.discovery.tell(writer.row(state="leaving"))
-        await until(lambda: "w" in on.daemon.core.draining)
+        await wait_until(lambda: "w" in on.daemon.core.draining)
         hold.set()
         assert (await call.receive()).outcome == "served"
 
@@ -76,7 +76,7 @@
         call = await send_request(on, "q1")
         await late.requested.wait()  # for the reservation, or for the attempt that the other host rejected
         on.discovery.tell(other.row(state="leaving"))
-        await until(lambda: "w2" in on.daemon.core.draining)
+        await wait_until(lambda: "w2" in on.daemon.core.draining)
         late.may_complete.set()
         await call.receive()
         assert (other.begun, [what for what in other.calls if what[0] == "POST"]) == ([], [])
@@ -92,9 +92,11 @@
         on.daemon.hosts.check_health("w")
         await late.requested.wait()
         on.discovery.tell(writer.row(state="leaving"))
-        await until(lambda: "w" in on.daemon.core.draining)
+        await wait_until(lambda: "w" in on.daemon.core.draining)
         late.may_complete.set()
-        await until(lambda: len(on.daemon.hosts.pool.hosts["w"].idle) == 1)  # what came up unused is kept
+        await wait_until(
+            lambda: len(on.daemon.hosts.pool.hosts["w"].idle) == 1
+        )  # what came up unused is kept
         assert (writer.calls, writer.bodies) == ([], [])
 
     play(reader, writer, story=story)
@@ -110,7 +112,7 @@
         call = await send_request(on, "q1")
         await late.requested.wait()
         on.discovery.tell(moved.row())
-        await until(
+        await wait_until(
             lambda: on.daemon.hosts.pool.hosts["w"].address[1] == int(moved.address.rpartition(":")[2])
         )
         late.may_complete.set()
@@ -133,7 +135,7 @@
 
     async def story(on: Stage) -> None:
         call = await send_request(on, "q1")
-        await until(lambda: writer.begun == ["q1"])
+        await wait_until(lambda: writer.begun == ["q1"])
         again = DelayedConnects(on, "w")
         gate.set()  # it breaks after the request's last byte
         await again.requested.wait()
@@ -260,7 +262,7 @@
     async def story(on: Stage) -> None:
         await ask_platform(on.platform, "q1", "orden")
         call = await send_request(on, "q2")
-        await until(lambda: reader.begun == ["q1", "q2"])
+        await wait_until(lambda: reader.begun == ["q1", "q2"])
         await trio.testing.wait_all_tasks_blocked()
         assert writer.begun == ["q1"]  # q2 is not read yet
         gate.set()
@@ -307,7 +309,7 @@
         gate = trio.Event()
         reader.acts.append(Act(before=gate))
         call = await send_request(on, "q1")
-        await until(lambda: reader.begun == ["q1"])
+        await wait_until(lambda: reader.begun == ["q1"])
         late = DelayedConnects(on, "r")
         on.daemon.hosts.pool.hosts.pop("w")  # the release has but one host to go to
         request = core.open_requests["q1"]
@@ -317,7 +319,7 @@
         assert request.release is not None
         request.release.superseded = True  # as by a send
         late.may_complete.set()
-        await until(lambda: request.release is None)
+        await wait_until(lambda: request.release is None)
         assert reader.calls == []
         gate.set()
         await call.receive()
@@ -333,10 +335,10 @@
     async def story(on: Stage) -> None:
         late = {name: DelayedConnects(on, name) for name in ("r", "r2")}
         call = await send_request(on, "q1")
-        await until(lambda: any(each.requested.is_set() for each in late.values()))
+        await wait_until(lambda: any(each.requested.is_set() for each in late.values()))
         next(each for each in late.values() if each.requested.is_set()).may_complete.set()
         released = ("DELETE", "q1")
-        await until(lambda: released in reader.calls + other.calls + writer.calls)
+        await wait_until(lambda: released in reader.calls + other.calls + writer.calls)
         assert len(reader.begun) + len(other.begun) == 1  # the next is not sent yet
         for each in late.values():
             each.may_complete.set()
@@ -373,7 +375,7 @@
 
     async def story(on: Stage) -> None:
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "refused"
-        await until(lambda: not on.daemon.core.open_requests)
+        await wait_until(lambda: not on.daemon.core.open_requests)
         assert len(asked) == 4
 
     play(reader, writer, *more, story=story)
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -10,8 +10,8 @@
 import trio
 import trio.testing
 
+from tests.process_time import wait_until
 from tests.race_helpers import DelayedConnects, send_request
-from tests.steady import until
 from tests.test_program import start
 from tests.test_stories import pair, play
 from violetstack.protocol.http_client import ResponseData, ResponseEnd, ResponseHead
@@ -58,7 +58,7 @@
         async def read() -> None:
             told.extend(call.http.feed(bytes(await call.stream.receive_some(64 * 1024))))
 
-        await until(lambda: any(c.unwritten_bytes for c in connections))
+        await wait_until(lambda: any(c.unwritten_bytes for c in connections))
         while core.open_requests:
             await read()
         assert any(c.unwritten_bytes for c in connections)  # the host has finished, the client reads no more
@@ -66,7 +66,7 @@
         on.daemon.stop.set()
         await trio.testing.wait_all_tasks_blocked()
         on.daemon.stop.set()  # a second signal changes nothing
-        await until(lambda: not on.daemon.accepting)
+        await wait_until(lambda: not on.daemon.accepting)
         await trio.sleep(0.1)  # the process has looked for idle connections since
         assert any(c.unwritten_bytes for c in connections)
         while not isinstance(told[-1], ResponseEnd):
@@ -87,7 +87,7 @@
             )
         )
         await call.stream.send_all(whole[:40])
-        await until(lambda: any(c.http.busy for c in on.daemon.listeners[0].table.connections))
+        await wait_until(lambda: any(c.http.busy for c in on.daemon.listeners[0].table.connections))
         on.daemon.stop.set()
         await trio.testing.wait_all_tasks_blocked()
         await call.stream.send_all(whole[40:])
@@ -102,7 +102,7 @@
     async def story(on: Stage) -> None:
         connects = DelayedConnects(on, "w")
         call = await send_request(on, "q1")
-        await until(lambda: reader.begun == ["q1"])
+        await wait_until(lambda: reader.begun == ["q1"])
         await connects.requested.wait()
         on.daemon.stop.set()
         await trio.testing.wait_all_tasks_blocked()
@@ -119,7 +119,7 @@
         call = await send_request(on, "q1")
         await call.receive()
         listener = on.daemon.listeners[0]
-        await until(lambda: bool(listener.table.idle) and not listener.table.busy)
+        await wait_until(lambda: bool(listener.table.idle) and not listener.table.busy)
         again = Call(call.stream)
         sent = again.http.request(
             "POST", "/v1/chat/completions", [("Host", "x"), *platform_headers("q2", "orden")], BODY
@@ -162,7 +162,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(partial(ask, "q1", "orden"))
             nursery.start_soon(partial(ask, "q2", "consulta"))
-            await until(lambda: len(writer.begun) >= 2)
+            await wait_until(lambda: len(writer.begun) >= 2)
             on.daemon.stop.set()
         assert sorted(answers) == [500, 503]
 
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -16,7 +16,7 @@
 import trio
 
 from tests.faulty_discovery import FaultyDiscovery
-from tests.steady import until
+from tests.process_time import wait_until
 from tests.test_stories import pair, play
 from violetstack.config import Address
 from violetstack.net.descriptor_reserve import DescriptorReserve, open_tcp_connection
@@ -118,7 +118,7 @@
     async def story(
         program: DescriptorLimitedProgram, discovery: FaultyDiscovery, nursery: trio.Nursery
     ) -> None:
-        await until(lambda: bool(program.events("started")), 10.0)
+        await wait_until(lambda: bool(program.events("started")), 10.0)
         host, port = program.events("started")[0]["platform"]
         discovery.down = True
         discovery.hang_up()
@@ -127,7 +127,7 @@
         await trio.sleep(OUTAGE_S)
         discovery.tell({**CONFIGURED_HOST, "state": "leaving"})
         discovery.down = False
-        await until(lambda: program.draining(CONFIGURED_HOST["id"]), BOUND_S)
+        await wait_until(lambda: program.draining(CONFIGURED_HOST["id"]), BOUND_S)
         assert bool(program.events("accept_failed")) == bool(other_files)
 
     trio.run(main)
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -15,7 +15,7 @@
 import trio.testing
 
 from tests.faulty_discovery import FAULTS, FaultyDiscovery, MemoryStream
-from tests.steady import until
+from tests.process_time import wait_until
 from tests.test_stories import pair, play
 from violetstack.config import Address
 from violetstack.core.backoff import FIRST_WINDOW_AFTER_WATCH_S, MAX_WINDOW_S, Backoff
@@ -62,9 +62,9 @@
         on.discovery.tell(*invalid, {**prefill_host.row(), "weight": 2.0}, decode_host.row())
         if full:
             watch_of(on).request_list()
-            await until(lambda: "/api/targets" in on.discovery.asked and watch_of(on).version == 2)
-            await until(lambda: not watch_of(on).reconnecting)
-        await until(lambda: on.daemon.core.endpoints["r"].weight == 2.0)
+            await wait_until(lambda: "/api/targets" in on.discovery.asked and watch_of(on).version == 2)
+            await wait_until(lambda: not watch_of(on).reconnecting)
+        await wait_until(lambda: on.daemon.core.endpoints["r"].weight == 2.0)
         assert set(on.daemon.core.endpoints) == {"r", "w"}
         for n in range(3):
             assert (await ask_platform(on.platform, f"q{n}", "consulta")).outcome == "served"
@@ -90,14 +90,14 @@
         known = on.daemon.core.endpoints["w"]
         address = on.daemon.hosts.pool.hosts["w"].address
         on.discovery.tell({**decode_host.row(state="leaving"), **invalid_fields})
-        await until(lambda: "w" in on.daemon.core.draining)
+        await wait_until(lambda: "w" in on.daemon.core.draining)
         on.discovery.changes = []
         on.discovery.tell(
             {**prefill_host.row(), "weight": 2.0, "state": "asleep"}, {**decode_host.row(), **invalid_fields}
         )
         watch_of(on).request_list()
-        await until(lambda: on.daemon.core.endpoints["r"].weight == 2.0)
-        await until(lambda: "/api/targets" in on.discovery.asked and not watch_of(on).reconnecting)
+        await wait_until(lambda: on.daemon.core.endpoints["r"].weight == 2.0)
+        await wait_until(lambda: "/api/targets" in on.discovery.asked and not watch_of(on).reconnecting)
         assert on.daemon.core.endpoints["r"].state is EndpointState.HEALTHY
         assert on.daemon.core.endpoints["w"] == known
         assert on.daemon.hosts.pool.hosts["w"].address == address
@@ -111,10 +111,10 @@
 
     async def story(on: Stage) -> None:
         on.discovery.tell(decode_host.row(state="left"), {**decode_host.row(), "weight": 2.0})
-        await until(lambda: on.daemon.core.endpoints["w"].weight == 2.0)
+        await wait_until(lambda: on.daemon.core.endpoints["w"].weight == 2.0)
         assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "served"
         on.discovery.tell(decode_host.row(), decode_host.row(state="leaving"))
-        await until(lambda: "w" in on.daemon.core.draining)
+        await wait_until(lambda: "w" in on.daemon.core.draining)
 
     play(prefill_host, decode_host, story=story)
 
@@ -127,7 +127,7 @@
         await on.nursery.start(moved.serve)
         assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "served"
         on.discovery.tell({**moved.row(), "weight": 2.0})
-        await until(lambda: on.daemon.core.endpoints["w"].weight == 2.0)
+        await wait_until(lambda: on.daemon.core.endpoints["w"].weight == 2.0)
         assert (await ask_platform(on.platform, "q2", "consulta")).outcome == "served"
         assert (decode_host.begun, moved.begun) == (["q1"], ["q2"])
 
@@ -150,7 +150,7 @@
 
         monkeypatch.setattr(on.daemon.core, "update_endpoints", fail_once)
         on.discovery.tell(decode_host.row(state="leaving"))
-        await until(lambda: "w" in on.daemon.core.draining)
+        await wait_until(lambda: "w" in on.daemon.core.draining)
 
     play(prefill_host, decode_host, story=story)
 
@@ -163,11 +163,11 @@
     async def story(on: Stage) -> None:
         on.daemon.reload(lambda: on.config(discovery=address))
         on.discovery.tell(decode_host.row(state="leaving"))
-        await until(lambda: "w" in on.daemon.core.draining)
+        await wait_until(lambda: "w" in on.daemon.core.draining)
         await trio.sleep(2.0 * watch.MIN_CONNECT_INTERVAL_S)  # so that it has tried the invalid address
         on.daemon.reload(on.config)
         on.discovery.tell(decode_host.row())
-        await until(lambda: "w" not in on.daemon.core.draining)
+        await wait_until(lambda: "w" not in on.daemon.core.draining)
 
     play(prefill_host, decode_host, story=story)
 
@@ -357,10 +357,10 @@
         draining = on.daemon.core.draining
         on.discovery.changes = [(1, [])]
         on.discovery.tell(rows["w1"](state="leaving"))
-        await until(lambda: draining == {"w1"}, grace_ms / 1000.0)
+        await wait_until(lambda: draining == {"w1"}, grace_ms / 1000.0)
         on.discovery.changes = [(2, [rows["w1"](state="leaving"), rows["w2"](state="leaving")])]
         watch_of(on).request_list()
-        await until(lambda: draining == {"w1", "w2"}, grace_ms / 1000.0)
+        await wait_until(lambda: draining == {"w1", "w2"}, grace_ms / 1000.0)
         assert on.daemon.core.endpoints.keys() == {"r", "w1", "w2", "w3"}
         # Hosts that are kept although the list lacks them are in slow start, which may allow no request in
         # the first milliseconds.
@@ -370,7 +370,7 @@
                 sent_requests += 1
                 await trio.sleep(0.01)
         on.discovery.tell(rows["w3"](state="left"))
-        await until(lambda: "w3" not in on.daemon.core.endpoints, grace_ms / 1000.0)
+        await wait_until(lambda: "w3" not in on.daemon.core.endpoints, grace_ms / 1000.0)
         assert (await ask_platform(on.platform, "last", "consulta")).outcome != "served"
         assert [host.begun for host in hosts[1:]] == [[], [], [f"q{sent_requests}"]]
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -19,7 +19,7 @@
     "socket",
     "subprocess",
     "tests.race_helpers",
-    "tests.steady",
+    "tests.process_time",
     "threading",
     "trio",
 }
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -14,7 +14,7 @@
 import pytest
 import trio
 
-from tests.steady import until
+from tests.process_time import wait_until
 from tests.test_program import start
 from tests.test_stories import pair, play
 from violetstack.config import Config, ConfigError
@@ -65,7 +65,7 @@
         await on.nursery.start(discovery.serve)
         on.daemon.reload(lambda: on.config(discovery=discovery.address))
         on.discovery.tell({**writer.row(), "id": "old"})  # from the old one, after the move
-        await until(lambda: "w" not in on.daemon.core.endpoints)
+        await wait_until(lambda: "w" not in on.daemon.core.endpoints)
         assert (await ask_platform(on.platform, "q2", "orden")).outcome == "served"
         assert other.begun == ["q2"]
         assert "old" not in on.daemon.core.endpoints
--- a/tests/test_requests_are_answered.py
+++ b/tests/test_requests_are_answered.py
@@ -20,7 +20,7 @@
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
 
-from tests.steady import Steady, until
+from tests.process_time import ProcessTimer, wait_until
 from tests.test_stories import pair, play
 from violetstack.config import Address
 from violetstack.fronts.platform import PlatformFront
@@ -119,10 +119,10 @@
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"))
-        await until(lambda: writer.begun == ["q1"])
+        await wait_until(lambda: writer.begun == ["q1"])
         await client.send(request("q2"))
         connection = next(iter(on.daemon.listeners[0].table.connections))
-        await until(lambda: connection.http.unread > 0)
+        await wait_until(lambda: connection.http.unread > 0)
         gate.set()
         assert await client.receive_answers(2) == [200, 200]
         await client.stream.aclose()
@@ -135,7 +135,7 @@
 
 async def connection_of(on: Stage) -> DownstreamConnection:
     table = on.daemon.listeners[0].table
-    await until(lambda: len(table.connections) == 1)
+    await wait_until(lambda: len(table.connections) == 1)
     return next(iter(table.connections))
 
 
@@ -165,7 +165,7 @@
         await client.send(request("q1"), request("q2"))
         assert await client.receive_to_end() == [503, 503]
         assert (reader.begun, client.reset) == ([], False)
-        await until(lambda: not on.daemon.listeners[0].table.connections)
+        await wait_until(lambda: not on.daemon.listeners[0].table.connections)
 
     play(reader, writer, story=story)
 
@@ -182,7 +182,7 @@
         client = await RawClient.connect(on.platform)
         connection = await connection_of(on)
         await client.send(whole[:-20])
-        await until(lambda: connection.http.busy)
+        await wait_until(lambda: connection.http.busy)
         await trio.testing.wait_all_tasks_blocked()
         assert table.evict_one()
         await client.send(whole[-20:])
@@ -236,10 +236,10 @@
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
         await client.send(request("q1", kind=kind))
-        await until(lambda: host.begun == ["q1"])
+        await wait_until(lambda: host.begun == ["q1"])
         await client.stream.send_eof()
         assert await client.receive_to_end() == [status]
-        await until(lambda: not on.daemon.core.open_requests)
+        await wait_until(lambda: not on.daemon.core.open_requests)
         assert len(reader.begun) + len(writer.begun) == 1 + at_writer
 
     play(reader, writer, story=story)
@@ -256,9 +256,9 @@
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"), request("q2"))
-        await until(lambda: reader.begun == ["q1"])
+        await wait_until(lambda: reader.begun == ["q1"])
         on.daemon.stop.set()
-        await until(lambda: on.daemon.listeners[0].draining)
+        await wait_until(lambda: on.daemon.listeners[0].draining)
         gate.set()
         assert await client.receive_to_end() == [200, 200]
         assert client.heard.count(b"Connection: close") == 1
@@ -280,7 +280,7 @@
             await client.receive_once()
         assert b"Connection: close" in client.heard
         await client.send(request("q2"))
-        await until(connection.has_unread)
+        await wait_until(connection.has_unread)
         await trio.testing.wait_all_tasks_blocked()
         gate.set()
         assert await client.receive_to_end() == [200]
@@ -302,7 +302,7 @@
             await client.receive_once()
         await client.send(request("q2"))
         await client.stream.aclose()
-        await until(lambda: not on.daemon.core.open_requests, 0.1)
+        await wait_until(lambda: not on.daemon.core.open_requests, 0.1)
 
     play(reader, writer, story=story)
 
@@ -337,7 +337,7 @@
         client = await RawClient.connect(on.platform)
         await client.send(*(request(name, body=LARGE) for name in names))
         connection = await connection_of(on)
-        await until(lambda: connection.http.unread > 7 * len(LARGE))
+        await wait_until(lambda: connection.http.unread > 7 * len(LARGE))
         gate.set()
         assert await client.receive_answers(8) == [200] * 8
         assert writer.begun == names
@@ -373,7 +373,7 @@
         await client.send(*(request(f"q{n}") for n in range(200)))
         await client.receive_answers(1)
         await client.stream.aclose()
-        await until(lambda: not on.daemon.listeners[0].table.connections)
+        await wait_until(lambda: not on.daemon.listeners[0].table.connections)
         assert len(writer.begun) <= PIPELINE_BURST + 1
 
     play(reader, writer, story=story)
@@ -390,7 +390,7 @@
         client = await RawClient.connect(on.platform)
         connection = await connection_of(on)
         await client.send(*(request(f"q{n}", body=LARGE) for n in range(20)))
-        await until(lambda: not connection.has_unread() and connection.http.unread > 100_000)
+        await wait_until(lambda: not connection.has_unread() and connection.http.unread > 100_000)
         gate.set()
         statuses = await client.receive_to_end()
         assert len(statuses) >= 4
@@ -517,9 +517,9 @@
         if why == "crowded":
             listener.table.max_connections = 1
         client = await RawClient.connect(on.platform)
-        time = Steady()
+        time = ProcessTimer()
         for byte in request("q1"):
-            if client.ended or time.look() > NO_ANSWER_S:
+            if client.ended or time.sample() > NO_ANSWER_S:
                 break
             await client.send(bytes([byte]))
             with trio.move_on_after(0.01):
@@ -593,11 +593,11 @@
             await client.send(request(f"q{n}", kind="nobody"))
             assert (await client.receive_answers(n + 1))[-1] == 400
         await client.send(request("q4", body=b'{"x":"%b"}' % (b"x" * size)))
-        time = Steady()
+        time = ProcessTimer()
         while client.statuses[-1] != 200:
             with trio.move_on_after(0.005):
                 await client.receive_once()
-            assert time.look() < 0.15
+            assert time.sample() < 0.15
         await client.stream.aclose()
 
     play(*pair(), story=story)
@@ -628,7 +628,7 @@
         client = await RawClient.connect(on.platform)
         began = trio.current_time()
         await client.send(request("q1"), request("q2"))
-        await until(lambda: reader.begun == ["q1"])
+        await wait_until(lambda: reader.begun == ["q1"])
         await trio.sleep(0.1)
         behind = trio.current_time()
         await client.send(request("q3"))
@@ -763,7 +763,7 @@
         context.verify_mode = ssl.CERT_NONE
         call = await connect(on.chat, context)
         await call.stream.send_all(whole + whole[:50])
-        await until(lambda: len(reader.begun) == 1)
+        await wait_until(lambda: len(reader.begun) == 1)
         await call.stream.send_all(whole[50:-5])
         gate.set()
         client = RawClient(call.stream)
@@ -792,13 +792,13 @@
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"))
-        await until(lambda: reader.begun == ["q1"])
+        await wait_until(lambda: reader.begun == ["q1"])
         await client.send(b"x" * behind)
         if how == "reset":
             reset(client.stream)
         else:
             client.stream.socket.close()
-        await until(lambda: not on.daemon.core.open_requests, 0.1)
+        await wait_until(lambda: not on.daemon.core.open_requests, 0.1)
 
     play(reader, writer, story=story)
 
@@ -828,7 +828,7 @@
         late = [socket.create_connection(on.platform) for _ in range(3)]
         for each in late:
             each.sendall(request(f"late{late.index(each)}"))
-        await until(lambda: len(times.waited_ms) == 3)
+        await wait_until(lambda: len(times.waited_ms) == 3)
         assert all(1199.0 <= waited < 1500.0 for waited in times.waited_ms)
         for each in late:
             each.close()
@@ -860,10 +860,10 @@
 
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"))
-        await until(lambda: reader.begun == ["q1"])
+        await wait_until(lambda: reader.begun == ["q1"])
         monkeypatch.setattr(trio.SocketListener, "accept", fail_once)
         await RawClient.connect(on.platform)  # the accept under way takes it, and the next one fails
-        await until(lambda: bool(failed))
+        await wait_until(lambda: bool(failed))
         await failed[0].aclose()
         await trio.sleep(1.5 * listener_module.MAX_ACCEPT_RETRY_S)
         gate.set()
--- a/tests/test_shutdown_deadlines.py
+++ b/tests/test_shutdown_deadlines.py
@@ -9,8 +9,8 @@
 import trio
 import trio.testing
 
+from tests.process_time import wait_until
 from tests.race_helpers import send_request
-from tests.steady import until
 from tests.test_stories import pair, play
 from violetstack.daemon.lifecycle import SignalTime
 from violetstack.daemon.shutdown_schedule import KILL_DELAY_S, ShutdownSchedule
@@ -106,10 +106,10 @@
 
         on.daemon.parts.recovery.stop = stop_recovery  # type: ignore[method-assign]
         stop_as_if_asked(on, 0.56)
-        await until(lambda: not on.daemon.accepting)
+        await wait_until(lambda: not on.daemon.accepting)
         hold.set()
         assert (await call.receive()).whole
-        await until(lambda: bool(idle_at_end))
+        await wait_until(lambda: bool(idle_at_end))
         assert idle_at_end == [False]
 
     play(*pair(Act(pause=hold)), story=story)
@@ -120,7 +120,7 @@
 
     async def story(on: Stage) -> None:
         silent = await connect(on.platform)
-        await until(lambda: bool(on.daemon.listeners[0].table.awaiting_first_request))
+        await wait_until(lambda: bool(on.daemon.listeners[0].table.awaiting_first_request))
         stop_as_if_asked(on, 0.8)
         with trio.fail_after(0.2 + 0.5):  # SIGKILL may come after 0.2 s; the rest is the machine's
             assert await until_closed(silent.stream) == b""
@@ -141,7 +141,7 @@
             assert (await call.receive()).status == 200
         await call.stream.send_all(b"POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\n")
         listener = on.daemon.listeners[0]
-        await until(lambda: any(connection.http.busy for connection in listener.table.connections))
+        await wait_until(lambda: any(connection.http.busy for connection in listener.table.connections))
         stop_as_if_asked(on, schedule.close_silent_s)
         assert b" 503 " in await until_closed(call.stream)
         assert reader.begun == []
@@ -165,7 +165,7 @@
             )
         )
         await call.stream.send_all(whole[:40])
-        await until(lambda: any(c.http.busy for c in on.daemon.listeners[0].table.connections))
+        await wait_until(lambda: any(c.http.busy for c in on.daemon.listeners[0].table.connections))
         if signal_handled == "before":
             on.daemon.lifecycle.signal_received()
         time.sleep(0.65)  # noqa: ASYNC251 - the event loop stands still
@@ -189,7 +189,7 @@
         streaming = await send_request(on, "q1")
         await streaming.receive(events=3)
         waiting: Call = await send_request(on, "q2", Req_Deadline="15000m")
-        await until(lambda: len(writer.begun) >= 2)
+        await wait_until(lambda: len(writer.begun) >= 2)
         stop_as_if_asked(on, 3.25)
         with trio.fail_after(0.45 + 0.5):  # SIGKILL may come after 0.45 s; the rest is the machine's
             assert (await waiting.receive()).status in (500, 503)
@@ -213,10 +213,10 @@
     async def story(on: Stage) -> None:
         on.daemon.leases = _LeasesWithWait()  # type: ignore[assignment]
         call = await send_request(on, "q1")
-        await until(lambda: bool(on.daemon.core.open_requests))
+        await wait_until(lambda: bool(on.daemon.core.open_requests))
         on.daemon.lifecycle.signal_received()
         on.daemon.stop.set()
-        await until(lambda: on.daemon.listeners[0].draining)
+        await wait_until(lambda: on.daemon.listeners[0].draining)
         await trio.sleep(0.06)  # three looks of the shutdown at its clock
         assert on.daemon.accepting
         hold.set()
--- a/tests/test_startup_faults.py
+++ b/tests/test_startup_faults.py
@@ -11,7 +11,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.steady import until
+from tests.process_time import wait_until
 from tests.test_stories import pair, play
 from violetstack.config import Config, ConfigError, ConfigUnreadableError, read_node_config
 from violetstack.daemon import fronts, process
@@ -97,7 +97,7 @@
         read_again = failing_at_first(count, ConfigUnreadableError("no descriptor"))
         for _ in range(2):
             on.daemon.reload(read_again)
-        await until(lambda: reads > 0, 3.0)
+        await wait_until(lambda: reads > 0, 3.0)
         assert fronts.START_RETRIES_S < 30.0
 
     play(*pair(), story=story)
--- a/tests/test_startup_time.py
+++ b/tests/test_startup_time.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from tests.steady import Steady
+from tests.process_time import ProcessTimer
 from violetstack.config import Config, NodeConfig
 from violetstack.daemon.daemon import Daemon
 from violetstack.operator_config import OperatorConfig, StateConfig
@@ -106,19 +106,19 @@
 
 async def time_to_start(answer: Answer | None, folder: Path | None = None, **told: Any) -> float:
     """Seconds of this process's own time."""
-    spent = Steady()
+    spent = ProcessTimer()
 
-    async def look() -> None:
+    async def sample() -> None:
         while True:
-            spent.look()
+            spent.sample()
             await trio.sleep(0.002)
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(look)
+        nursery.start_soon(sample)
         with trio.fail_after(10.0):
             async with starting(answer, folder, **told):
                 nursery.cancel_scope.cancel()
-    return spent.spent
+    return spent.elapsed_s
 
 
 def test_no_start_waits_long_whatever_discovery_does() -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.steady import until
+from tests.process_time import wait_until
 from tests.test_stories import pair, play
 from violetstack.config import parse_address
 from violetstack.core import backoff
@@ -70,7 +70,7 @@
     assert on.daemon.watch is not None
     on.daemon.watch.address = parse_address(agent.address)
     on.discovery.hang_up()
-    await until(lambda: bool(agent.asked))
+    await wait_until(lambda: bool(agent.asked))
     return agent
 
 
@@ -97,7 +97,7 @@
     async def story(on: Stage) -> None:
         on.discovery.hang_up()
         on.discovery.tell(decode_host.row(state="leaving"))  # while no watch is open
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
 
     play(prefill_host, decode_host, story=story)
 
@@ -111,7 +111,7 @@
 
         agent = await watch_agent(on, *[end_at_once] * 500)
         began = trio.current_time()
-        await until(lambda: len(agent.asked) > 8)
+        await wait_until(lambda: len(agent.asked) > 8)
         assert trio.current_time() - began > 7 * watch.MIN_CONNECT_INTERVAL_S * 0.9
 
     play(*pair(), story=story)
@@ -127,9 +127,9 @@
 
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, *[silent] * 4)
-        await until(lambda: not agent.scripts)  # the fourth also stays silent; the next one is answered
+        await wait_until(lambda: not agent.scripts)  # the fourth also stays silent; the next one is answered
         agent.tell(decode_host.row(state="leaving"))
-        await until(lambda: is_draining(on), 1.0)
+        await wait_until(lambda: is_draining(on), 1.0)
 
     play(prefill_host, decode_host, story=story)
 
@@ -149,18 +149,18 @@
             await answer_now.wait()
             await connection.start(200, [])
             await connection.data(list_message(1))
-            await until(lambda: agent.version > 1)
+            await wait_until(lambda: agent.version > 1)
             await connection.data(list_message(2, decode_host.row(state="leaving")))
             await silent(connection)
 
         agent = await watch_agent(on, *[answer_together] * 5)
-        await until(lambda: not agent.scripts)
+        await wait_until(lambda: not agent.scripts)
         agent.scripts = [silent] * 500
         answer_now.set()
-        await until(lambda: on.daemon.watch is not None and not on.daemon.watch.reconnecting)
-        await until(lambda: on.daemon.watch is not None and on.daemon.watch.connection_count < 2)
+        await wait_until(lambda: on.daemon.watch is not None and not on.daemon.watch.reconnecting)
+        await wait_until(lambda: on.daemon.watch is not None and on.daemon.watch.connection_count < 2)
         agent.tell(decode_host.row(state="leaving"))
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
         assert on.daemon.watch is not None
         assert on.daemon.watch.connection_count == 1
 
@@ -198,17 +198,17 @@
             await silent(connection)
 
         agent = await watch_agent(on, sending(last, then=resume_later), *[silent] * 500)
-        await until(lambda: len(agent.asked) > 3)
+        await wait_until(lambda: len(agent.asked) > 3)
         resume.set()  # the new connections hang as well, and the stalled one resumes
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
         opened = agent.opened
         await trio.testing.wait_all_tasks_blocked()
         assert (agent.opened, len(agent.connections)) == (opened, 1)
         agent.scripts.clear()  # now it stalls again, and a new connection sends a list
         agent.version = 2
         agent.tell(decode_host.row())
-        await until(lambda: not is_draining(on))
-        await until(lambda: len(agent.connections) == 1)
+        await wait_until(lambda: not is_draining(on))
+        await wait_until(lambda: len(agent.connections) == 1)
 
     play(prefill_host, decode_host, story=story)
 
@@ -224,7 +224,7 @@
 
         agent = await watch_agent(on, sending(b'\n{"version":2,', then=trickle))
         agent.tell(decode_host.row(state="leaving"))
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
 
     play(prefill_host, decode_host, story=story)
 
@@ -245,7 +245,7 @@
 
         agent = await watch_agent(on, *[sending(first, then=flood)] * floods)
         agent.tell(decode_host.row(state="leaving"))
-        await until(lambda: is_draining(on), 2.0)
+        await wait_until(lambda: is_draining(on), 2.0)
 
     play(prefill_host, decode_host, story=story)
 
@@ -262,13 +262,15 @@
         await on.nursery.start(new.serve)
         on.discovery.tell(decode_host.row(state="leaving"))  # still unread when the configuration is reloaded
         on.daemon.reload(lambda: on.config(discovery=new.address))
-        await until(lambda: is_draining(on))
-        await until(lambda: not new.scripts)  # then it answers, and its complete list replaces the old one
-        await until(lambda: not is_draining(on))
+        await wait_until(lambda: is_draining(on))
+        await wait_until(
+            lambda: not new.scripts
+        )  # then it answers, and its complete list replaces the old one
+        await wait_until(lambda: not is_draining(on))
         assert set(new.asked[:4]) == {"/api/targets"}
         on.discovery.tell(prefill_host.row(state="leaving"))
         new.tell(decode_host.row(state="leaving"))
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
         assert not is_draining(on, "r")
 
     play(prefill_host, decode_host, story=story)
@@ -329,10 +331,10 @@
         agent = await watch_agent(
             on, sending(b'\n{"version":2,"servers":7}\n', then=send_later), *[silent] * 500
         )
-        await until(lambda: len(agent.asked) > 3)
+        await wait_until(lambda: len(agent.asked) > 3)
         assert set(agent.asked[1:]) == {"/api/targets"}
         send_change.set()
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
 
     play(prefill_host, decode_host, story=story)
 
@@ -343,7 +345,7 @@
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, sending(b"what\n"))
         agent.tell(decode_host.row(state="leaving"))
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
         assert agent.asked[1] == "/api/targets"
 
     play(prefill_host, decode_host, story=story)
@@ -366,7 +368,7 @@
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, sending(b"\n", change))
         agent.tell(decode_host.row(state="leaving"))
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
         assert on.daemon.core.endpoints.keys() == {"r", "w"}
 
     play(prefill_host, decode_host, story=story)
@@ -383,7 +385,7 @@
         ]
         agent = await watch_agent(on, sending(b"\n", *changes))
         agent.tell(decode_host.row(state="leaving"))
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
         assert agent.asked[1] == "/api/targets"
 
     play(prefill_host, decode_host, story=story)
@@ -395,8 +397,8 @@
             await connection.answer(200, [], b'{"version":3,"full":false,"servers":[]}')
 
         agent = await watch_agent(on, sending(b"what\n"), *[send_invalid_list] * 500)
-        with pytest.raises(AssertionError, match="not in time"):
-            await until(lambda: len(agent.asked) > 8, 1.0)
+        with pytest.raises(AssertionError, match="condition did not hold"):
+            await wait_until(lambda: len(agent.asked) > 8, 1.0)
         assert len(agent.asked) >= 3
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "served"
 
@@ -409,7 +411,7 @@
     async def story(on: Stage) -> None:
         invalid_entry = {**decode_host.row(), "id": "x", "cell": "three"}
         on.discovery.tell(invalid_entry, decode_host.row(state="leaving"))
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
         assert "x" not in on.daemon.core.endpoints
 
     play(prefill_host, decode_host, story=story)
@@ -422,7 +424,7 @@
     async def story(on: Stage) -> None:
         change = list_message(2, decode_host.row(state="leaving"), option=orjson.OPT_INDENT_2)
         await watch_agent(on, sending(b"\n", *(bytes([byte]) for byte in change)))
-        await until(lambda: is_draining(on))
+        await wait_until(lambda: is_draining(on))
 
     play(prefill_host, decode_host, story=story)
 
