--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -201,7 +201,7 @@
         self._discoveries = {OLD_ADDRESS: self.discovery}
 
     async def recovery_s(self, outage_s: float) -> float:
-        """Returns how long after an outage a drain is applied that discovery then has."""
+        """Returns how long it takes after an outage until a drain is applied."""
         async with trio.open_nursery() as nursery:
             self._start(nursery)
             await trio.sleep(1.0)
@@ -211,7 +211,7 @@
             return await self._drain_applied_after_s(nursery)
 
     async def recovery_after_stall_s(self) -> float:
-        """Returns how long after the last message of a stalled watch a drain is applied."""
+        """Returns how long it takes after the last message of a stalled watch until a drain is applied."""
         async with trio.open_nursery() as nursery:
             self.discovery.down = True
             self._start(nursery)
@@ -219,7 +219,7 @@
             return 1.0 + await self._drain_applied_after_s(nursery)
 
     async def recovery_after_move_s(self, outage_s: float, *, old_ends: bool) -> float:
-        """Returns how long after a new discovery service comes up a drain that it has is applied."""
+        """Returns how long it takes after a new discovery service has come up until its drain is applied."""
         old = self.discovery
         async with trio.open_nursery() as nursery:
             self._start(nursery)
@@ -241,6 +241,7 @@
         nursery.start_soon(self.watch.run)
 
     async def _drain_applied_after_s(self, nursery: trio.Nursery) -> float:
+        """Ends the outage with a drain; returns how long it takes until the drain is applied."""
         self.discovery.down = False
         self.discovery.tell({"id": "r", "addr": "10.0.0.1:80", "state": "leaving"})
         returned_at = trio.current_time()
@@ -255,14 +256,14 @@
 
 
 @pytest.fixture
-def in_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+def memory_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     async def connect(address: Address, reserve: DescriptorReserve) -> MemoryStream:
         return await CONNECT.get()(address, reserve)
 
     monkeypatch.setattr(watch, "open_tcp_connection", connect)
 
 
-def longest_s(cases: Sequence[Callable[[], Awaitable[float]]]) -> float:
+def longest_recovery_s(cases: Sequence[Callable[[], Awaitable[float]]]) -> float:
     """Runs the cases concurrently in virtual time; returns the longest recovery time."""
     recovery_times_s: list[float] = []
 
@@ -283,14 +284,14 @@
 MODE_IDS = ["agent", "3", "30", "200"]
 
 
-@pytest.mark.usefixtures("in_memory")
+@pytest.mark.usefixtures("memory_connections")
 @pytest.mark.parametrize(("agent", "fleet"), MODES, ids=MODE_IDS)
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_change_is_applied_in_time_after_an_outage(fault: str, agent: bool, fleet: int) -> None:
     """Regression: a failed connection and the wait after it took up to 8 s; silent ones never answer."""
     watched = [WatchedDiscovery(fault, Backoff(fleet, seed, agent=agent)) for seed in range(len(OUTAGES_S))]
     cases = [partial(case.recovery_s, length) for case, length in zip(watched, OUTAGES_S, strict=True)]
-    assert longest_s(cases) <= BOUND_S - MARGIN_S
+    assert longest_recovery_s(cases) <= BOUND_S - MARGIN_S
     gaps = [
         later - earlier for case in watched for earlier, later in pairwise(case.discovery.connected_at[1:])
     ]
@@ -298,14 +299,14 @@
     assert max(gaps, default=0.0) <= longest_gap_s + 0.01  # so the bound holds whenever discovery returns
 
 
-@pytest.mark.usefixtures("in_memory")
+@pytest.mark.usefixtures("memory_connections")
 @pytest.mark.parametrize(("agent", "fleet"), MODES, ids=MODE_IDS)
 def test_a_change_that_a_stalled_watch_misses_is_applied_in_time(agent: bool, fleet: int) -> None:
     watched = [WatchedDiscovery("stalls", Backoff(fleet, seed, agent=agent)) for seed in range(6)]
-    assert longest_s([case.recovery_after_stall_s for case in watched]) <= BOUND_S - MARGIN_S
+    assert longest_recovery_s([case.recovery_after_stall_s for case in watched]) <= BOUND_S - MARGIN_S
 
 
-@pytest.mark.usefixtures("in_memory")
+@pytest.mark.usefixtures("memory_connections")
 @pytest.mark.parametrize("old_ends", [False, True], ids=["old watch stays open", "old watch ends"])
 @pytest.mark.parametrize(("agent", "fleet"), [(True, 200), (False, 200)], ids=["agent", "shared"])
 @pytest.mark.parametrize("fault", ["connect hangs", "silent", "rejects"])
@@ -317,28 +318,28 @@
         partial(case.recovery_after_move_s, length, old_ends=old_ends)
         for case, length in zip(watched, OUTAGES_S, strict=True)
     ]
-    assert longest_s(cases) <= BOUND_S - MARGIN_S
+    assert longest_recovery_s(cases) <= BOUND_S - MARGIN_S
 
 
-@pytest.mark.usefixtures("in_memory")
+@pytest.mark.usefixtures("memory_connections")
 @pytest.mark.parametrize("fault", ["connect hangs", "silent"])
 def test_unanswered_connections_never_block_the_next_one(fault: str) -> None:
     """Only MAX_WAITING_CONNECTIONS may wait at a time, and each of them waits for seconds."""
     watched = WatchedDiscovery(fault, Backoff(3, 7, agent=True))
-    assert longest_s([partial(watched.recovery_s, 6.0)]) <= watch.SLOW_HEDGE_DELAY_S
+    assert longest_recovery_s([partial(watched.recovery_s, 6.0)]) <= watch.SLOW_HEDGE_DELAY_S
     connected_at = watched.discovery.connected_at[1:]
     assert (
         max(later - earlier for earlier, later in pairwise(connected_at)) <= watch.SLOW_HEDGE_DELAY_S + 0.01
     )
 
 
-@pytest.mark.usefixtures("in_memory")
+@pytest.mark.usefixtures("memory_connections")
 @pytest.mark.parametrize(("agent", "fleet"), MODES, ids=MODE_IDS)
 def test_the_list_of_a_discovery_that_is_slow_to_answer_is_received(agent: bool, fleet: int) -> None:
     """Regression: every connection to an agent that took over 1.5 s for its first message was closed."""
     watched = WatchedDiscovery("refuses", Backoff(fleet, 7, agent=agent))
     watched.discovery.delay_s = 1.6
-    assert longest_s([partial(watched.recovery_s, 0.1)]) <= BOUND_S
+    assert longest_recovery_s([partial(watched.recovery_s, 0.1)]) <= BOUND_S
 
 
 # --- a complete list that lacks most hosts ---
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -82,7 +82,7 @@
 
 
 class UnreadSource:
-    """An input source with a number of unread messages, one of which is read in each loop iteration."""
+    """An input source with a number of unread messages; each query for unread input takes one of them."""
 
     def __init__(self, unread: int) -> None:
         self.unread = unread
--- a/violetstack/net/event_loop_wakeup.py
+++ b/violetstack/net/event_loop_wakeup.py
@@ -34,7 +34,10 @@
 
 
 def _wake(self: WakeupSocketpair) -> None:
-    """Wakes the loop from a thread or a signal handler; unread bytes in a full buffer suffice."""
+    """Wakes the loop from a thread or a signal handler.
+
+    If the socket buffer is full, it holds unread bytes that wake the loop.
+    """
     for _ in range(MAX_SENDS):
         try:
             self.write_sock.send(WAKE_UP_BYTE)
