--- a/tests/frozen_hosts.py
+++ b/tests/frozen_hosts.py
@@ -1,7 +1,7 @@
-"""Model hosts that freeze, vanish and come back, and write down what they hold for each request.
+"""Model hosts that freeze, become unreachable and recover, and record what they hold for each request.
 
-A frozen host takes connections and bytes, and begins nothing until it goes on. One that has vanished takes no
-connection. Both keep what they hold.
+A frozen host accepts connections and data, but begins no request before it thaws. An unreachable host accepts
+no connections. Both keep what they hold.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from violetstack.rehearsal.peer import Break, PeerConnection
 
 PREFILL_S = 0.05
-QUEUE_FILLERS = 3
+ACCEPT_QUEUE_FILLERS = 3
 
 
-class Reservation(Enum):
-    """How a decode host answers a reservation: status (0 for no answer), and after how long."""
+class ReservationAnswer(Enum):
+    """How a decode host answers a reservation: status (0 for no answer) and delay in seconds."""
 
     SLOT = (200, 0.0)
     LATE_SLOT = (200, 0.45)
     NO_SLOT = (409, 0.0)
     UNCERTAIN = (204, 0.3)
     UNCERTAIN_NOW = (204, 0.0)
-    """Once the time that a host waits for the prefill is over."""
+    """For a reservation whose host has already waited for the prefill."""
     NO_ANSWER = (0, 0.0)
 
     @property
@@ -44,21 +44,21 @@
         return self.value[1]
 
 
-class Conduct(Enum):
-    """What a running host does with an attempt."""
+class HostBehaviour(Enum):
+    """How a running host handles an attempt."""
 
     SERVES = auto()
-    BEGINS_NOTHING = auto()
+    NEVER_BEGINS = auto()
     HANGS = auto()
-    """It begins the attempt and never answers."""
+    """The host begins the attempt and never responds."""
     BREAKS = auto()
-    """It begins the attempt and breaks the connection; a prefill has left its state."""
+    """The host begins the attempt and breaks the connection; a prefill leaves its state."""
     FAILS = auto()
-    """It begins the attempt and answers 500."""
+    """The host begins the attempt and responds with status 500."""
 
 
-class Resumption(Enum):
-    """What a frozen host does with what has come, once it goes on."""
+class ThawBehaviour(Enum):
+    """How a frozen host handles the requests that it has received, once it thaws."""
 
     BEGINS = auto()
     RESETS = auto()
@@ -66,64 +66,64 @@
 
 @dataclass
 class Script:
-    """What hosts do with one request; the last entry of `prefills` is for all further ones as well."""
+    """How hosts handle one request; the last entry of `prefills` applies to all further prefills."""
 
-    prefills: tuple[Conduct, ...] = (Conduct.SERVES,)
-    decode: Conduct = Conduct.SERVES
-    reservation: Reservation = Reservation.SLOT
-    prefills_come: int = 0
+    prefills: tuple[HostBehaviour, ...] = (HostBehaviour.SERVES,)
+    decode: HostBehaviour = HostBehaviour.SERVES
+    reservation: ReservationAnswer = ReservationAnswer.SLOT
+    prefills_received: int = 0
     prefill_begun: trio.Event = field(default_factory=trio.Event)
-    """Set while a host has begun a prefill and not ended it."""
+    """Set while a host processes a prefill of the request."""
 
-    def next_prefill(self) -> Conduct:
-        """What happens to the prefill attempt that has come now."""
-        conduct = self.prefills[min(self.prefills_come, len(self.prefills) - 1)]
-        self.prefills_come += 1
-        return conduct
+    def next_prefill_behaviour(self) -> HostBehaviour:
+        """Returns how to handle the prefill attempt that was received now."""
+        behaviour = self.prefills[min(self.prefills_received, len(self.prefills) - 1)]
+        self.prefills_received += 1
+        return behaviour
 
 
 class HoldingHost(ModelHost):
-    """A model host that acts by the script of each request, and writes down what it holds."""
+    """A model host that handles each request by its script, and records what it holds."""
 
     def __init__(
-        self, name: str, kind: str, evidence: HoldEvidence, script_of: Callable[[str], Script]
+        self, name: str, kind: str, evidence: HoldEvidence, get_script: Callable[[str], Script]
     ) -> None:
         super().__init__(name, kind)
         self.evidence = evidence
-        self.resumption = Resumption.BEGINS
+        self.thaw_behaviour = ThawBehaviour.BEGINS
         self.refuses_releases = False
-        self._script_of = script_of
+        self._get_script = get_script
         self._thawed = trio.Event()
         self._thawed.set()
-        self._fillers: list[socket.socket] = []
+        self._filler_sockets: list[socket.socket] = []
 
-    # --- what befalls it ---
+    # --- faults ---
 
     def freeze(self) -> None:
-        """From now on nothing that comes is begun."""
+        """Begins no further requests until `thaw`."""
         self._thawed = trio.Event()
 
-    def thaw(self, resumption: Resumption = Resumption.BEGINS) -> None:
-        """Goes on."""
-        self.resumption = resumption
+    def thaw(self, thaw_behaviour: ThawBehaviour = ThawBehaviour.BEGINS) -> None:
+        """Resumes, and handles the requests received meanwhile by `thaw_behaviour`."""
+        self.thaw_behaviour = thaw_behaviour
         self._thawed.set()
 
-    def vanish(self) -> None:
-        """Open connections fall silent, and new ones do not come up."""
+    def become_unreachable(self) -> None:
+        """Stops responding on open connections, and lets no new connection be established."""
         self.freeze()
         self._accepting.cancel()
         listening = self._sockets[0].socket
         listening.listen(0)
         address = listening.getsockname()
-        for _ in range(QUEUE_FILLERS):
+        for _ in range(ACCEPT_QUEUE_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(address)
-            self._fillers.append(filler)
+            self._filler_sockets.append(filler)
 
     def close_fillers(self) -> None:
-        """Closes what fills the queue of a host that has vanished."""
-        for filler in self._fillers:
+        """Closes the sockets that fill the accept queue of an unreachable host."""
+        for filler in self._filler_sockets:
             filler.close()
 
     # --- requests ---
@@ -134,14 +134,14 @@
     async def handle(self, inbound: HttpRequest, connection: PeerConnection) -> None:
         if not self._thawed.is_set():
             await self._thawed.wait()
-            if self.resumption is Resumption.RESETS or _is_closed(connection):
+            if self.thaw_behaviour is ThawBehaviour.RESETS or _is_closed(connection):
                 raise Break
         if inbound.path.startswith("/state/"):
-            await self._state_call(inbound, connection)
+            await self._handle_state_call(inbound, connection)
         else:
-            await self._attempt(inbound, connection)
+            await self._handle_attempt(inbound, connection)
 
-    async def _state_call(self, inbound: HttpRequest, connection: PeerConnection) -> None:
+    async def _handle_state_call(self, inbound: HttpRequest, connection: PeerConnection) -> None:
         request_id = inbound.path.removeprefix("/state/")
         self.calls.append((inbound.method, request_id))
         if inbound.method == "DELETE":
@@ -149,12 +149,12 @@
                 self._record(HostRecord.RELEASE_TAKEN, request_id)
             await connection.answer(503 if self.refuses_releases else 204, [])
             return
-        script = self._script_of(request_id)
+        script = self._get_script(request_id)
         reservation = script.reservation
-        if reservation is not Reservation.NO_SLOT:
+        if reservation is not ReservationAnswer.NO_SLOT:
             self._record(HostRecord.SLOT_RESERVED, request_id)
-        if reservation is Reservation.SLOT and not await self._knows_of_prefill(script):
-            reservation = Reservation.UNCERTAIN_NOW
+        if reservation is ReservationAnswer.SLOT and not await self._prefill_begins_in_time(script):
+            reservation = ReservationAnswer.UNCERTAIN_NOW
         await trio.sleep(reservation.delay_s)
         if reservation.status:
             await connection.answer(reservation.status, [])
@@ -163,41 +163,43 @@
         raise Break
 
     @staticmethod
-    async def _knows_of_prefill(script: Script) -> bool:
-        """Whether a prefill of the request is out, or begins while a decode host waits for it."""
-        with trio.move_on_after(Reservation.UNCERTAIN.delay_s):
+    async def _prefill_begins_in_time(script: Script) -> bool:
+        """Returns whether a prefill of the request is in progress or begins while the decode host waits."""
+        with trio.move_on_after(ReservationAnswer.UNCERTAIN.delay_s):
             await script.prefill_begun.wait()
             return True
         return False
 
-    async def _attempt(self, inbound: HttpRequest, connection: PeerConnection) -> None:
+    async def _handle_attempt(self, inbound: HttpRequest, connection: PeerConnection) -> None:
         request_id = inbound.headers["req-id"]
-        script = self._script_of(request_id)
+        script = self._get_script(request_id)
         self.begun.append(request_id)
-        conduct = script.next_prefill() if self.kind == "prefill" else script.decode
-        if conduct is Conduct.BEGINS_NOTHING:
+        behaviour = script.next_prefill_behaviour() if self.kind == "prefill" else script.decode
+        if behaviour is HostBehaviour.NEVER_BEGINS:
             await connection.until_closed()
             raise Break
         self._record(HostRecord.ATTEMPT_BEGUN, request_id)
         if self.kind == "prefill":
             script.prefill_begun.set()
         await trio.sleep(PREFILL_S)
-        if conduct is Conduct.HANGS:
+        if behaviour is HostBehaviour.HANGS:
             await connection.until_closed()
         script.prefill_begun = trio.Event()
-        if conduct is Conduct.HANGS:
+        if behaviour is HostBehaviour.HANGS:
             self._record(HostRecord.ATTEMPT_ENDED, request_id)
             raise Break
-        if self.kind == "prefill" and conduct is not Conduct.FAILS:
+        if self.kind == "prefill" and behaviour is not HostBehaviour.FAILS:
             self._record(HostRecord.STATE_LEFT, request_id)
         self._record(HostRecord.ATTEMPT_ENDED, request_id)
-        await self._answer(conduct, inbound, connection)
+        await self._answer(behaviour, inbound, connection)
 
-    async def _answer(self, conduct: Conduct, inbound: HttpRequest, connection: PeerConnection) -> None:
-        match conduct:
-            case Conduct.BREAKS:
+    async def _answer(
+        self, behaviour: HostBehaviour, inbound: HttpRequest, connection: PeerConnection
+    ) -> None:
+        match behaviour:
+            case HostBehaviour.BREAKS:
                 raise Break
-            case Conduct.FAILS:
+            case HostBehaviour.FAILS:
                 await self.play(ERROR, inbound, connection)
             case _:
                 if self.kind != "prefill":
@@ -206,7 +208,7 @@
 
 
 def _is_closed(connection: PeerConnection) -> bool:
-    """Whether the other side has closed the connection."""
+    """Returns whether the peer has closed the connection."""
     stream = connection.stream
     assert isinstance(stream, trio.SocketStream)
     return has_ended(stream.socket)
--- a/tests/held_state_matrix.py
+++ b/tests/held_state_matrix.py
@@ -1,6 +1,6 @@
-"""What may be held for a request, crossed with what befalls hosts, clients and the dispatcher meanwhile.
+"""A matrix of tests: kinds of held state (rows) with faults of hosts, clients and the dispatcher (columns).
 
-Each column is played once, by one real dispatcher process that gets a request for each row and class.
+Each column is run once with a real dispatcher process, which gets a request for each row and class.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 
 import trio
 
-from tests.frozen_hosts import Conduct, HoldingHost, Reservation, Resumption, Script
+from tests.frozen_hosts import HoldingHost, HostBehaviour, ReservationAnswer, Script, ThawBehaviour
 from tests.race_helpers import DispatcherProcess, dispatcher_process
 from violetstack.rehearsal.clients import Call
 from violetstack.rehearsal.fleet.hold_audit import HeldTooLong, HoldEvidence, HostRecord, audit_holds
 from violetstack.rehearsal.stage import SETTINGS
 
-BEGINS_NOTHING = Conduct.BEGINS_NOTHING
-SERVES = Conduct.SERVES
+NEVER_BEGINS = HostBehaviour.NEVER_BEGINS
+SERVES = HostBehaviour.SERVES
 ROWS: dict[str, Script] = {
-    "state": Script((SERVES,), BEGINS_NOTHING, Reservation.NO_SLOT),
-    "slot-uncertain": Script((BEGINS_NOTHING,), BEGINS_NOTHING, Reservation.UNCERTAIN),
-    "slot-unanswered": Script((BEGINS_NOTHING,), BEGINS_NOTHING, Reservation.NO_ANSWER),
-    "slot-confirmed": Script((Conduct.HANGS,), BEGINS_NOTHING, Reservation.SLOT),
-    "slot-after-prefill": Script((SERVES,), BEGINS_NOTHING, Reservation.LATE_SLOT),
-    "slot-and-state": Script((SERVES,), BEGINS_NOTHING, Reservation.SLOT),
-    "state-of-retry": Script((Conduct.BREAKS, BEGINS_NOTHING), BEGINS_NOTHING, Reservation.UNCERTAIN),
-    "slot-of-failed": Script((Conduct.FAILS, BEGINS_NOTHING), BEGINS_NOTHING, Reservation.SLOT),
-    "state-after-error": Script((SERVES,), Conduct.FAILS, Reservation.SLOT),
+    "state": Script((SERVES,), NEVER_BEGINS, ReservationAnswer.NO_SLOT),
+    "slot-uncertain": Script((NEVER_BEGINS,), NEVER_BEGINS, ReservationAnswer.UNCERTAIN),
+    "slot-unanswered": Script((NEVER_BEGINS,), NEVER_BEGINS, ReservationAnswer.NO_ANSWER),
+    "slot-confirmed": Script((HostBehaviour.HANGS,), NEVER_BEGINS, ReservationAnswer.SLOT),
+    "slot-after-prefill": Script((SERVES,), NEVER_BEGINS, ReservationAnswer.LATE_SLOT),
+    "slot-and-state": Script((SERVES,), NEVER_BEGINS, ReservationAnswer.SLOT),
+    "state-of-retry": Script((HostBehaviour.BREAKS, NEVER_BEGINS), NEVER_BEGINS, ReservationAnswer.UNCERTAIN),
+    "slot-of-failed": Script((HostBehaviour.FAILS, NEVER_BEGINS), NEVER_BEGINS, ReservationAnswer.SLOT),
+    "state-after-error": Script((SERVES,), HostBehaviour.FAILS, ReservationAnswer.SLOT),
 }
-"""What is held, and how it came to be."""
+"""How hosts handle the requests of each row, which determines what they hold."""
 CLASSES = ("consulta", "orden", "keyed")
-"""A class of each effect: safe, unsafe, with an idempotency key."""
+"""One class for each kind of idempotency: safe, unsafe, and with an idempotency key."""
 KEYED = {
     "name": "keyed",
     "aim": 2000.0,
@@ -44,19 +44,19 @@
     "window": 2000.0,
     "value": 1.0,
 }
-BEFALLS_AFTER_S = 0.1
-FEW_SOCKETS = 200
-FILLERS = 60
-"""More than there may be connections to hosts with so few sockets."""
-PLAY_S = 2.2
-STOPPED_S = 1.2
-HELD_UP_S = 0.15
-UNREACHABLE_S = 0.25
+FAULT_DELAY_S = 0.1
+LOW_SOCKET_LIMIT = 200
+FILLER_REQUEST_COUNT = 60
+"""More than the number of connections to hosts that `LOW_SOCKET_LIMIT` allows."""
+OBSERVATION_S = 2.2
+LONG_PAUSE_S = 1.2
+SHORT_PAUSE_S = 0.15
+UNREACHABLE_TIME_S = 0.25
 
 
 @dataclass
 class Deployment:
-    """The hosts of one column, and the requests that are under way."""
+    """The hosts of one column and its open requests."""
 
     evidence: HoldEvidence = field(default_factory=HoldEvidence)
     scripts: dict[str, Script] = field(default_factory=dict)
@@ -66,58 +66,58 @@
     def add_host(self, name: str, kind: str) -> None:
         self.hosts.append(HoldingHost(name, kind, self.evidence, self.scripts.__getitem__))
 
-    def named(self, name: str) -> HoldingHost:
+    def host_named(self, name: str) -> HoldingHost:
         (host,) = [host for host in self.hosts if host.name == name]
         return host
 
     def excuse_until(self, until: float) -> None:
-        """The dispatcher does not run until then."""
+        """Excuses all holds until the given time, since the dispatcher does not run before."""
         self.evidence.excuse(self.scripts, until)
 
 
-Befall = Callable[[Deployment, DispatcherProcess], Awaitable[None]]
+Fault = Callable[[Deployment, DispatcherProcess], Awaitable[None]]
 
 
-async def nothing(_: Deployment, __: DispatcherProcess) -> None:
-    """No host begins what it is given; nothing else happens."""
+async def no_fault(_: Deployment, __: DispatcherProcess) -> None:
+    """Injects no fault; as in all columns, hosts act by the scripts of the requests."""
 
 
-def on_hosts(names: str, act: Callable[[HoldingHost], None], after_s: float = 0.0) -> Befall:
-    async def befall(deployment: Deployment, _: DispatcherProcess) -> None:
+def on_hosts(names: str, action: Callable[[HoldingHost], None], after_s: float = 0.0) -> Fault:
+    async def fault(deployment: Deployment, _: DispatcherProcess) -> None:
         await trio.sleep(after_s)
         for name in names.split():
-            act(deployment.named(name))
+            action(deployment.host_named(name))
 
-    return befall
+    return fault
 
 
-def frozen_hosts(names: str, then: Resumption | None) -> Befall:
-    """They freeze, and go on 0.5 s later if `then` says how."""
+def frozen_hosts(names: str, thaw_behaviour: ThawBehaviour | None) -> Fault:
+    """Freezes the hosts, and thaws them after 0.5 s unless `thaw_behaviour` is None."""
 
-    async def befall(deployment: Deployment, _: DispatcherProcess) -> None:
-        hosts = [deployment.named(name) for name in names.split()]
+    async def fault(deployment: Deployment, _: DispatcherProcess) -> None:
+        hosts = [deployment.host_named(name) for name in names.split()]
         for host in hosts:
             host.freeze()
-        if then is not None:
+        if thaw_behaviour is not None:
             await trio.sleep(0.5)
             for host in hosts:
-                host.thaw(then)
+                host.thaw(thaw_behaviour)
 
-    return befall
+    return fault
 
 
-async def unreachable(deployment: Deployment, _: DispatcherProcess) -> None:
-    """Every host is out of reach for a while."""
+async def all_hosts_unreachable(deployment: Deployment, _: DispatcherProcess) -> None:
+    """Makes every host unreachable for `UNREACHABLE_TIME_S`."""
     for host in deployment.hosts:
         host.freeze()
-    await trio.sleep(UNREACHABLE_S)
+    await trio.sleep(UNREACHABLE_TIME_S)
     for host in deployment.hosts:
-        host.thaw(Resumption.RESETS)
+        host.thaw(ThawBehaviour.RESETS)
 
 
-async def leaves_and_returns(deployment: Deployment, dispatcher: DispatcherProcess) -> None:
-    """A host of each role drains, leaves the list, and returns under the same id."""
-    rows = [deployment.named(name) for name in ("r1", "w1")]
+async def hosts_leave_and_return(deployment: Deployment, dispatcher: DispatcherProcess) -> None:
+    """Has one host of each role drain, leave the endpoint list, and return with the same id."""
+    rows = [deployment.host_named(name) for name in ("r1", "w1")]
     for state in ("leaving", "left", "active"):
         dispatcher.agent.tell(*(host.row(state) for host in rows))
         await trio.sleep(0.2)
@@ -129,33 +129,33 @@
 
 
 async def attempts_fill_pool(deployment: Deployment, dispatcher: DispatcherProcess) -> None:
-    """Attempts that no host begins take every connection to hosts that there may be."""
-    for number in range(FILLERS):
+    """Uses up all connections to hosts by attempts that no host begins."""
+    for number in range(FILLER_REQUEST_COUNT):
         request_id = f"filler{number}.orden"
-        deployment.scripts[request_id] = Script((BEGINS_NOTHING,), BEGINS_NOTHING, Reservation.NO_ANSWER)
+        deployment.scripts[request_id] = Script((NEVER_BEGINS,), NEVER_BEGINS, ReservationAnswer.NO_ANSWER)
         deployment.calls[request_id] = await dispatcher.send_request(request_id, "orden")
 
 
-def stopped(lasts_s: float) -> Befall:
-    async def befall(deployment: Deployment, dispatcher: DispatcherProcess) -> None:
-        deployment.excuse_until(time.monotonic() + lasts_s if lasts_s > HELD_UP_S else 0.0)
-        await dispatcher.pause(lasts_s)
+def paused(duration_s: float) -> Fault:
+    async def fault(deployment: Deployment, dispatcher: DispatcherProcess) -> None:
+        deployment.excuse_until(time.monotonic() + duration_s if duration_s > SHORT_PAUSE_S else 0.0)
+        await dispatcher.pause(duration_s)
 
-    return befall
+    return fault
 
 
-def signalled(number: int) -> Befall:
-    async def befall(_: Deployment, dispatcher: DispatcherProcess) -> None:
+def signal_sent(number: int) -> Fault:
+    async def fault(_: Deployment, dispatcher: DispatcherProcess) -> None:
         dispatcher.program.send(number)
 
-    return befall
+    return fault
 
 
 @dataclass(frozen=True)
 class Column:
-    """What happens while something is held, under which settings."""
+    """The fault that occurs while state is held, and the settings of the dispatcher."""
 
-    befall: Befall = nothing
+    fault: Fault = no_fault
     retention_s: float = 0.3
     deadline_ms: int = 5000
     limits: dict[str, Any] = field(default_factory=dict)
@@ -164,43 +164,43 @@
 
 
 COLUMNS: dict[str, Column] = {
-    "nothing": Column(),
-    "nothing, retention 1 s": Column(retention_s=1.0),
-    "nothing, long deadline": Column(deadline_ms=15000),
-    "nothing, short deadline": Column(deadline_ms=300),
-    "nothing, no cancellation": Column(limits={"cancel": False}),
-    "nothing, no second attempt beside another": Column(limits={"may_duplicate": False}),
-    "nothing, two attempts allowed": Column(limits={"max_attempts": 2}),
-    "nothing, decode hosts of both roles": Column(decode_kind="mixed"),
-    "prefill host freezes": Column(frozen_hosts("r1 r2", None)),
-    "prefill host freezes and begins": Column(frozen_hosts("r1 r2", Resumption.BEGINS)),
-    "prefill host freezes and resets": Column(frozen_hosts("r1 r2", Resumption.RESETS)),
+    "no fault": Column(),
+    "no fault, retention 1 s": Column(retention_s=1.0),
+    "no fault, long deadline": Column(deadline_ms=15000),
+    "no fault, short deadline": Column(deadline_ms=300),
+    "no fault, no cancellation": Column(limits={"cancel": False}),
+    "no fault, no hedged requests": Column(limits={"may_duplicate": False}),
+    "no fault, two attempts allowed": Column(limits={"max_attempts": 2}),
+    "no fault, mixed hosts instead of decode hosts": Column(decode_kind="mixed"),
+    "prefill hosts freeze": Column(frozen_hosts("r1 r2", None)),
+    "prefill hosts freeze, then begin": Column(frozen_hosts("r1 r2", ThawBehaviour.BEGINS)),
+    "prefill hosts freeze, then reset": Column(frozen_hosts("r1 r2", ThawBehaviour.RESETS)),
     "decode hosts freeze": Column(frozen_hosts("w1 w2", None)),
-    "decode hosts freeze and begin": Column(frozen_hosts("w1 w2", Resumption.BEGINS)),
-    "decode hosts freeze and reset": Column(frozen_hosts("w1 w2", Resumption.RESETS)),
-    "all but one freeze": Column(frozen_hosts("r1 r2 w1", None)),
-    "prefill hosts vanish": Column(on_hosts("r1 r2", HoldingHost.vanish)),
-    "decode hosts vanish": Column(on_hosts("w1 w2", HoldingHost.vanish)),
+    "decode hosts freeze, then begin": Column(frozen_hosts("w1 w2", ThawBehaviour.BEGINS)),
+    "decode hosts freeze, then reset": Column(frozen_hosts("w1 w2", ThawBehaviour.RESETS)),
+    "all hosts but one freeze": Column(frozen_hosts("r1 r2 w1", None)),
+    "prefill hosts become unreachable": Column(on_hosts("r1 r2", HoldingHost.become_unreachable)),
+    "decode hosts become unreachable": Column(on_hosts("w1 w2", HoldingHost.become_unreachable)),
     "hosts refuse releases": Column(
         on_hosts("r1 r2 w1", lambda host: setattr(host, "refuses_releases", True))
     ),
     "prefill hosts die": Column(on_hosts("r1 r2", HoldingHost.die)),
-    "hosts drain, leave and return": Column(leaves_and_returns),
-    "clients leave": Column(clients_leave),
-    "clients leave, no cancellation": Column(clients_leave, limits={"cancel": False}),
-    "held up 0.15 s": Column(stopped(HELD_UP_S)),
-    "stopped 1.2 s": Column(stopped(STOPPED_S)),
-    "SIGHUP": Column(signalled(signal.SIGHUP)),
-    "SIGTERM": Column(signalled(signal.SIGTERM)),
-    "no connection left": Column(attempts_fill_pool, sockets=FEW_SOCKETS),
-    "every host out of reach for a while": Column(unreachable),
+    "hosts drain, leave and return": Column(hosts_leave_and_return),
+    "clients disconnect": Column(clients_leave),
+    "clients disconnect, no cancellation": Column(clients_leave, limits={"cancel": False}),
+    "dispatcher pauses for 0.15 s": Column(paused(SHORT_PAUSE_S)),
+    "dispatcher pauses for 1.2 s": Column(paused(LONG_PAUSE_S)),
+    "SIGHUP": Column(signal_sent(signal.SIGHUP)),
+    "SIGTERM": Column(signal_sent(signal.SIGTERM)),
+    "no free connections": Column(attempts_fill_pool, sockets=LOW_SOCKET_LIMIT),
+    "all hosts unreachable for 0.25 s": Column(all_hosts_unreachable),
 }
-"""What happens meanwhile."""
+"""The faults, by the name of the column."""
 
 
 @dataclass(frozen=True)
 class Cell:
-    """What one request came to."""
+    """The audit result of one request."""
 
     held: bool
     too_long: tuple[HeldTooLong, ...]
@@ -219,15 +219,15 @@
 
 
 ALL_REQUESTS = tuple(f"{row}.{class_name}" for row in ROWS for class_name in CLASSES)
-MAX_AT_ONCE = 5
+MAX_CONCURRENT_COLUMNS = 5
 
 
-async def play_column(
+async def run_column(
     column: Column, number: int = 0, requests: tuple[str, ...] = ALL_REQUESTS
 ) -> dict[str, Cell]:
-    """Plays the requests, whose ids are `row.class`; returns what each came to.
+    """Sends the requests, whose ids are `row.class`, and returns their audit results.
 
-    `number`: of the dispatcher, among those that are played at the same time.
+    `number` tells dispatchers apart that run at the same time.
     """
     deployment = Deployment()
     for name, kind in (("r1", "prefill"), ("r2", "prefill"), ("w1", column.decode_kind)):
@@ -244,9 +244,9 @@
             deployment.calls[request_id] = await dispatcher.send_request(
                 request_id, request_id.rpartition(".")[2], Req_Deadline=f"{column.deadline_ms}m"
             )
-        await trio.sleep(BEFALLS_AFTER_S)
-        await column.befall(deployment, dispatcher)
-        await trio.sleep(PLAY_S + column.retention_s)
+        await trio.sleep(FAULT_DELAY_S)
+        await column.fault(deployment, dispatcher)
+        await trio.sleep(OBSERVATION_S + column.retention_s)
     for host in deployment.hosts:
         host.close_fillers()
     deployment.evidence.ended_at = time.monotonic()
@@ -254,25 +254,27 @@
 
 
 def _cells(deployment: Deployment, column: Column, requests: tuple[str, ...]) -> dict[str, Cell]:
-    found = audit_holds(deployment.evidence, column.retention_s)
+    violations = audit_holds(deployment.evidence, column.retention_s)
     holds = {HostRecord.SLOT_RESERVED, HostRecord.STATE_LEFT}
     held = {event.request_id for event in deployment.evidence.events if event.record in holds}
     return {
-        each: Cell(each in held, tuple(late for late in found if late.request_id == each))
-        for each in requests
+        request_id: Cell(
+            request_id in held, tuple(late for late in violations if late.request_id == request_id)
+        )
+        for request_id in requests
     }
 
 
-async def play_matrix() -> dict[str, dict[str, Cell]]:
-    """Plays every column, some at the same time."""
-    played: dict[str, dict[str, Cell]] = {}
-    limit = trio.CapacityLimiter(MAX_AT_ONCE)
+async def run_matrix() -> dict[str, dict[str, Cell]]:
+    """Runs all columns, up to `MAX_CONCURRENT_COLUMNS` at the same time."""
+    results: dict[str, dict[str, Cell]] = {}
+    limit = trio.CapacityLimiter(MAX_CONCURRENT_COLUMNS)
 
-    async def play(number: int, name: str) -> None:
+    async def run_one(number: int, name: str) -> None:
         async with limit:
-            played[name] = await play_column(COLUMNS[name], number)
+            results[name] = await run_column(COLUMNS[name], number)
 
     async with trio.open_nursery() as nursery:
         for number, name in enumerate(COLUMNS):
-            nursery.start_soon(play, number, name)
-    return played
+            nursery.start_soon(run_one, number, name)
+    return results
