--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -134,7 +134,7 @@
 
 def test_an_attempts_deadline_is_never_after_its_requests() -> None:
     harness = CoreHarness()
-    assert harness.send("w1", stop_after=9000.0).deadline == harness.request.deadline
+    assert harness.send("w1", timeout_ms=9000.0).deadline == harness.request.deadline
 
 
 SHORT = {"aim": 150.0, "give_up": 300.0}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core with a scripted policy, a driver that records its calls, and an explicit clock."""
+"""Tests of the dispatcher's core with a scripted policy, a recording driver and a simulated clock."""
 
 from __future__ import annotations
 
@@ -36,24 +36,24 @@
 
 
 class RecordingPorts:
-    """Policy, driver and sink in one: returns scripted actions, and records the calls that it gets."""
+    """Policy, driver and sink in one: returns scripted actions and records all calls."""
 
     def __init__(self) -> None:
-        self.scripted: list[Action] = []
+        self.scripted_actions: list[Action] = []
         self.events: list[Event] = []
         self.attempts: list[Attempt] = []
         self.aborted: list[Attempt] = []
         self.reservations: list[ReservationCall] = []
         self.releases: list[ReleaseCall] = []
         self.answers: list[str] = []
-        self.gone = False
+        self.client_disconnected = False
         self.unacknowledged: list[Attempt] = []
         self.logged: list[tuple[str, dict[str, Any]]] = []
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
         self.events += events
-        actions = self.scripted
-        self.scripted = []
+        actions = self.scripted_actions
+        self.scripted_actions = []
         return actions
 
     def start_attempt(self, attempt: Attempt) -> None:
@@ -96,7 +96,7 @@
         self.answers.append("stream_broken")
 
     def is_client_disconnected(self) -> bool:
-        return self.gone
+        return self.client_disconnected
 
     def rejected(self, retry_after_ms: float) -> None:
         self.answers.append("rejected")
@@ -110,10 +110,10 @@
 
 
 class CoreHarness:
-    """A dispatcher with one open request, `q`, whose clock moves only by `run`.
+    """A dispatcher with one open request, `q`, and a clock that only `run` advances.
 
     Attributes:
-        settings: Those of `SETTINGS`, with the changes that the test gives.
+        settings: `SETTINGS` with the changes that the test passes.
     """
 
     def __init__(self, **changes: Any) -> None:
@@ -145,21 +145,24 @@
         return self.core.accept(self.now, request, self.ports, None)
 
     def run(self, *actions: Action, after: float = 0.0) -> None:
+        """Advances the clock by `after` milliseconds, and has the policy return the actions."""
         self.now += after
-        self.ports.scripted += actions
+        self.ports.scripted_actions += actions
         if actions:
             self.core.pending_events.append(TimerFired("go"))
         self.core.run(self.now)
 
-    def send(self, server: str, stop_after: float = 500.0) -> Attempt:
-        self.run(SendAttempt("q", server, self.now + stop_after))
+    def send(self, server: str, timeout_ms: float = 500.0) -> Attempt:
+        self.run(SendAttempt("q", server, self.now + timeout_ms))
         return self.ports.attempts[-1]
 
 
 @pytest.mark.parametrize(
     ("written", "status"), [(False, AttemptStatus.CONNECT_FAILED), (True, AttemptStatus.TIMEOUT)]
 )
-def test_a_timed_out_attempt_may_have_run_only_if_written(written: bool, status: AttemptStatus) -> None:
+def test_timed_out_attempt_counts_as_possibly_executed_only_if_written(
+    written: bool, status: AttemptStatus
+) -> None:
     harness = CoreHarness()
     harness.send("w1").request_written = written
     harness.run(after=501.0)
@@ -170,14 +173,14 @@
 @pytest.mark.parametrize(
     ("written", "status"), [(False, AttemptStatus.ALREADY_FINISHED), (True, AttemptStatus.CANCELLED)]
 )
-def test_a_cancelled_attempt_may_have_run_only_if_written(written: bool, status: AttemptStatus) -> None:
+def test_cancelled_attempt_ends_as_cancelled_only_if_written(written: bool, status: AttemptStatus) -> None:
     harness = CoreHarness()
     harness.send("w1").request_written = written
     harness.run(CancelAttempt("q", 0))
     assert harness.ports.statuses == [status]
 
 
-def test_a_request_gets_one_final_response_whatever_is_decided_later() -> None:
+def test_request_gets_one_final_response_despite_later_actions() -> None:
     harness = CoreHarness()
     harness.run(RejectRequest("q", 100.0), FailRequest("q"), SendAttempt("q", "w1", 0.0))
     harness.run(after=4000.0)
@@ -186,9 +189,9 @@
     assert not harness.core.open_requests
 
 
-def test_a_request_that_the_policy_leaves_open_fails_at_its_deadline() -> None:
+def test_request_left_open_by_the_policy_fails_at_its_deadline() -> None:
     harness = CoreHarness()
-    harness.send("w1", stop_after=9000.0).request_written = True
+    harness.send("w1", timeout_ms=9000.0).request_written = True
     harness.run(after=3001.0)
     assert len(harness.ports.answers) == 1
     assert ClientDisconnected("q") in harness.ports.events or harness.ports.statuses == [
@@ -196,7 +199,7 @@
     ]
 
 
-def test_a_stream_has_no_deadline_and_its_break_is_the_final_response() -> None:
+def test_stream_has_no_deadline_and_breaking_it_is_the_final_response() -> None:
     harness = CoreHarness()
     attempt = harness.send("w1")
     assert harness.core.stream_started(harness.now, attempt)
@@ -210,7 +213,7 @@
 @pytest.mark.parametrize(
     ("reserved", "nothing_reserved", "releases"), [(None, False, 1), (True, False, 1), (False, True, 0)]
 )
-def test_a_reservation_is_released_after_the_request_unless_nothing_was_reserved(
+def test_reservation_is_released_after_the_request_unless_nothing_was_reserved(
     reserved: bool | None, nothing_reserved: bool, releases: int
 ) -> None:
     harness = CoreHarness()
@@ -223,8 +226,8 @@
     assert len(harness.ports.releases) == releases
 
 
-def test_a_reservation_that_ends_during_a_release_is_released_again() -> None:
-    """The release may have come first."""
+def test_reservation_that_ends_during_a_release_is_released_again() -> None:
+    """The release may have reached the host before the reservation did."""
     harness = CoreHarness()
     prefill = harness.send("r1")
     harness.run(ReserveDecodeSlot("q", "w1"))
@@ -236,8 +239,8 @@
     assert len(harness.ports.releases) == 2
 
 
-def test_a_reservation_that_ends_during_a_release_is_released_again_while_the_request_goes_on() -> None:
-    """The release was dropped and not repeated, so the slot stayed reserved until the request's end."""
+def test_reservation_that_ends_during_a_release_is_released_again_while_the_request_is_open() -> None:
+    """Guards against a slot that stays reserved until the request ends, since the release is not repeated."""
     harness = CoreHarness()
     prefill = harness.send("r1")
     harness.run(ReserveDecodeSlot("q", "w1"))
@@ -250,13 +253,15 @@
     assert harness.request.hold.may_be_held
     harness.core.release_finished(harness.now, harness.ports.releases[1], True)
     harness.run(after=MAX_DELIVERY_MS)
-    assert len(harness.ports.releases) == 3  # the second may have overtaken the end of the prefill
+    assert (
+        len(harness.ports.releases) == 3
+    )  # the second may have reached a host before the end of the prefill did
     harness.core.release_finished(harness.now, harness.ports.releases[2], True)
     assert not harness.request.hold.may_be_held
 
 
-def test_state_is_released_after_a_prefill_whose_connection_broke() -> None:
-    """Once more a little later: another host may take the release before this one sees the end."""
+def test_state_is_released_twice_after_a_prefill_whose_connection_broke() -> None:
+    """Another host may take the first release before the prefill host notices the broken connection."""
     harness = CoreHarness()
     prefill = harness.send("r1")
     prefill.request_written = True
@@ -274,8 +279,8 @@
     assert not harness.core.open_requests
 
 
-def test_an_attempt_supersedes_a_release_once_it_is_written_and_needs_one_after_its_end() -> None:
-    """The decision to send does not: the connection may never come up while the held state expires."""
+def test_attempt_supersedes_a_release_once_it_is_written_and_needs_another_after_its_end() -> None:
+    """Only starting it does not supersede the release: it may never connect while the held state expires."""
     harness = CoreHarness()
     harness.core.attempt_finished(harness.now, harness.send("r1"), AttemptStatus.PREFILLED)
     harness.run(ReleaseState("q"))
@@ -289,8 +294,8 @@
     assert len(harness.ports.releases) == 2
 
 
-def test_a_reservation_without_an_answer_does_not_delay_the_release_of_state() -> None:
-    """The release waited 0.6 s for the reservation, where state may be retained for only half a second."""
+def test_unanswered_reservation_does_not_delay_the_release_of_state() -> None:
+    """Guards against a release that waits 0.6 s for the reservation, longer than the retention of 0.5 s."""
     harness = CoreHarness()
     prefill = harness.send("r1")
     harness.run(ReserveDecodeSlot("q", "w1"))
@@ -309,8 +314,8 @@
     assert not harness.core.open_requests
 
 
-def test_the_connect_timeout_is_what_is_left_of_the_state_retention() -> None:
-    """300 ms from the end of the last attempt that was written; one that was not changes nothing."""
+def test_connect_timeout_is_the_rest_of_the_state_retention() -> None:
+    """The retention is 300 ms from the end of the last attempt that was written; others do not count."""
     harness = CoreHarness()
     prefill = harness.send("r1")
     assert harness.core.connect_timeout_ms(harness.now, prefill) == math.inf
@@ -329,7 +334,7 @@
     assert harness.core.connect_timeout_ms(harness.now, harness.send("w1")) == 300.0
 
 
-def test_a_stream_is_aborted_when_its_client_disconnects() -> None:
+def test_stream_is_aborted_when_its_client_disconnects() -> None:
     harness = CoreHarness()
     attempt = harness.send("w1")
     harness.core.stream_started(harness.now, attempt)
@@ -339,7 +344,7 @@
     assert not harness.core.open_requests
 
 
-def test_a_sink_that_raises_loses_its_own_response_only() -> None:
+def test_exception_of_a_sink_only_loses_its_own_response() -> None:
     harness = CoreHarness()
     harness.request.sink.finished = lambda: 1 / 0  # type: ignore[method-assign, assignment]
     harness.core.attempt_finished(harness.now, harness.send("w1"), AttemptStatus.OK)
@@ -347,7 +352,7 @@
     assert not harness.core.open_requests
 
 
-def test_an_id_that_is_open_is_not_accepted_again() -> None:
+def test_request_with_the_id_of_an_open_request_is_not_accepted() -> None:
     harness = CoreHarness()
     with pytest.raises(DuplicateRequestError):
         harness.accept("q")
@@ -364,7 +369,9 @@
     assert harness.ports.statuses[-1] is AttemptStatus.ALREADY_FINISHED
 
 
-def test_a_failed_clean_up_costs_no_other_request_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_clean_up_does_not_prevent_the_clean_up_of_other_requests(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     harness = CoreHarness()
     other = harness.accept("other")
     harness.run()
@@ -380,46 +387,47 @@
     assert list(harness.core.open_requests) == ["q"]
 
 
-@pytest.mark.parametrize("arrived", [True, False])
-def test_an_attempt_that_has_not_arrived_does_not_hold_state_beyond_its_retention(arrived: bool) -> None:
-    """On a connection that fell silent it counted as sent, and the state was held to its timeout."""
+@pytest.mark.parametrize("acknowledged", [True, False])
+def test_unacknowledged_attempt_does_not_hold_state_beyond_its_retention(acknowledged: bool) -> None:
+    """Guards against state that is held until the timeout of an attempt which its host never received."""
     harness = CoreHarness()
     prefill = harness.send("r1")
     harness.core.request_written(harness.now, prefill)
     harness.core.attempt_finished(harness.now, prefill, AttemptStatus.PREFILLED)
-    decode = harness.send("w1", stop_after=2500.0)
+    decode = harness.send("w1", timeout_ms=2500.0)
     harness.core.request_written(harness.now, decode)
-    if not arrived:
+    if not acknowledged:
         harness.ports.unacknowledged.append(decode)
     harness.run(after=SETTINGS.state_retention_ms)
     assert len(harness.ports.releases) == 1
-    assert harness.ports.aborted == ([] if arrived else [decode])
-    assert decode.finished is not arrived
-    if not arrived:
-        # What is held expires by the prefill's end, not by that of the attempt that never came.
+    assert harness.ports.aborted == ([] if acknowledged else [decode])
+    assert decode.finished is not acknowledged
+    if not acknowledged:
+        # The retention counts from the end of the prefill, not from that of the attempt that was never
+        # received.
         assert harness.core.connect_timeout_ms(harness.now, harness.send("w2")) == MIN_CONNECT_TIMEOUT_MS
     harness.core.release_finished(harness.now, harness.ports.releases[0], True)
-    if not arrived:
+    if not acknowledged:
         assert harness.core.connect_timeout_ms(harness.now, harness.send("w1")) == math.inf
         harness.run(RejectRequest("q", 0.0))
     harness.core.attempt_finished(harness.now, decode, AttemptStatus.OK)
 
 
-def test_an_undelivered_attempt_may_have_run() -> None:
-    """Its acknowledgement may be what was lost, so nothing that may not be repeated follows it."""
+def test_undelivered_attempt_counts_as_possibly_executed() -> None:
+    """Only its acknowledgement may have been lost, so a non-idempotent request is not sent again."""
     harness = CoreHarness()
     harness.core.attempt_finished(harness.now, harness.send("r1"), AttemptStatus.PREFILLED)
-    decode = harness.send("w1", stop_after=2500.0)
+    decode = harness.send("w1", timeout_ms=2500.0)
     harness.core.request_written(harness.now, decode)
     harness.ports.unacknowledged.append(decode)
     harness.run(after=SETTINGS.state_retention_ms)
     assert harness.request.may_have_run
-    before = len(harness.ports.attempts)
+    attempts_before = len(harness.ports.attempts)
     harness.run(SendAttempt("q", "w2", harness.now + 500.0))
-    assert len(harness.ports.attempts) == before
+    assert len(harness.ports.attempts) == attempts_before
 
 
-def test_the_log_says_why_an_attempt_was_withheld() -> None:
+def test_log_contains_the_reason_why_an_attempt_was_withheld() -> None:
     harness = CoreHarness()
     attempt = harness.send("w1")
     draining = make_endpoint("w1", 1, state=EndpointState.DRAINING)
--- a/tests/test_idempotency_invariant.py
+++ b/tests/test_idempotency_invariant.py
@@ -286,11 +286,11 @@
 ) -> None:
     """It counted from the attempt that ended first, and not at all while all were in flight."""
     play = Play(KEYED, hedging=True, cancel=True, max_attempts=4)
-    first = play.send("w1", stop_after=2000.0)
+    first = play.send("w1", timeout_ms=2000.0)
     play.connect(first)
     play.write(first)
     play.run(after=150.0)
-    second = play.send("w2", stop_after=2000.0)
+    second = play.send("w2", timeout_ms=2000.0)
     play.connect(second)
     play.write(second)
     play.end(second, AttemptStatus.RESET)
@@ -316,6 +316,6 @@
 def test_an_attempt_past_its_own_deadline_is_not_written_before_its_timer_has_run() -> None:
     """The loop may write before it runs timers: the host was told that 1 ms was left."""
     play = Play(IDEMPOTENT_CLASS, hedging=False, cancel=True, max_attempts=4)
-    attempt = play.send("w1", stop_after=100.0)
+    attempt = play.send("w1", timeout_ms=100.0)
     play.now += 100.0
     assert not play.core.may_send(play.now, attempt)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each rule's counter rises when the rule is broken: the faults are planted past the code that keeps it."""
+"""Tests that each violation of a rule is counted; they bypass the code that normally prevents violations."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def write(harness: CoreHarness, attempt: Attempt) -> None:
-    """What the driver reports, whatever the guards say."""
+    """Reports the attempt as written, without asking the send guard."""
     harness.core.request_started(harness.now, attempt)
     harness.core.request_written(harness.now, attempt)
 
 
-def test_an_ordinary_request_violates_nothing() -> None:
+def test_ordinary_request_violates_no_rule() -> None:
     harness = CoreHarness()
     prefill = harness.send("r1")
     write(harness, prefill)
@@ -54,7 +54,7 @@
     assert not violations(harness)
 
 
-def test_a_first_byte_to_a_draining_host_is_counted() -> None:
+def test_first_byte_to_a_draining_host_is_counted() -> None:
     harness = CoreHarness()
     attempt = harness.send("w1")
     draining = make_endpoint("w1", 1, state=EndpointState.DRAINING)
@@ -63,7 +63,7 @@
     assert violations(harness) == {Rule.DRAIN: 1}
 
 
-def test_a_byte_for_a_request_that_is_over_is_counted() -> None:
+def test_attempt_written_after_the_client_disconnected_is_counted() -> None:
     harness = CoreHarness()
     attempt = harness.send("w1")
     harness.request.client_disconnected = True
@@ -71,7 +71,7 @@
     assert violations(harness) == {Rule.LOST: 1}
 
 
-def test_a_deadline_beyond_the_client_s_is_counted() -> None:
+def test_attempt_deadline_beyond_the_deadline_of_the_request_is_counted() -> None:
     harness = CoreHarness()
     attempt = harness.send("r1")
     attempt.deadline = harness.request.deadline + 151.0
@@ -82,8 +82,8 @@
 
 
 @pytest.mark.parametrize("status", [None, AttemptStatus.RESET])
-def test_a_second_execution_is_counted(status: AttemptStatus | None) -> None:
-    """Beside the first one, or after it may have run."""
+def test_second_execution_is_counted(status: AttemptStatus | None) -> None:
+    """It is written while the first one is in flight, or after the first one may have been executed."""
     harness = CoreHarness(classes=(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS), hedging_allowed=True)
     first = harness.send("w1")
     write(harness, first)
@@ -97,9 +97,9 @@
 @pytest.mark.parametrize(
     ("after_ms", "cell", "expected"),
     [(10.0, 0, 0), (1000.0, 0, 1), (10.0, 1, 1)],
-    ids=["kept", "late", "cell"],
+    ids=["allowed", "after window", "other cell"],
 )
-def test_a_repetition_outside_the_window_or_the_scope_is_counted(
+def test_repetition_outside_the_deduplication_window_or_scope_is_counted(
     after_ms: float, cell: int, expected: int
 ) -> None:
     harness = CoreHarness(classes=(IDEMPOTENT_CLASS, KEYED))
@@ -120,16 +120,16 @@
     assert violations(harness).get(Rule.DUPLICATE, 0) == expected
 
 
-def test_a_second_answer_and_a_late_one_are_counted() -> None:
+def test_second_response_and_late_response_are_counted() -> None:
     harness = CoreHarness()
-    lifecycle = harness.core._lifecycle  # noqa: SLF001 - a fault is planted
+    lifecycle = harness.core._lifecycle  # noqa: SLF001 - bypasses the checks of the public methods
     lifecycle.finish(harness.request.deadline + 501.0, harness.request, RequestOutcome.FAILED)
     assert violations(harness) == {Rule.LOST: 1}
     lifecycle.finish(harness.request.deadline, harness.request, RequestOutcome.REJECTED)
     assert violations(harness) == {Rule.LOST: 1, Rule.FINAL_ANSWER: 1}
 
 
-def test_an_answer_that_is_late_since_the_process_stood_still_is_not_counted() -> None:
+def test_response_that_is_late_because_the_process_was_paused_is_not_counted() -> None:
     harness = CoreHarness()
     late = harness.request.deadline + 501.0
     harness.core.process_paused(late, 3500.0)
@@ -137,7 +137,7 @@
     assert not violations(harness)
 
 
-def test_state_that_is_released_late_or_by_nobody_is_counted() -> None:
+def test_state_that_is_released_late_or_not_at_all_is_counted() -> None:
     harness = CoreHarness()
     prefill = harness.send("r1")
     write(harness, prefill)
@@ -145,13 +145,15 @@
     harness.run(after=SETTINGS.state_retention_ms + 299.0)
     assert not violations(harness)
     harness.run(after=2.0)
-    assert violations(harness) == {Rule.HELD_STATE: 1}  # while it is held, whether or not a release follows
+    assert violations(harness) == {
+        Rule.HELD_STATE: 1
+    }  # as soon as it is overdue, whether or not a release follows
     harness.run(ReleaseState("q"))
     harness.core.release_finished(harness.now, harness.ports.releases[0], False)
     assert violations(harness) == {Rule.HELD_STATE: 2}
 
 
-def test_a_violation_is_logged_with_its_course_and_a_flood_is_bounded() -> None:
+def test_violation_is_logged_with_its_request_and_the_number_of_log_lines_is_limited() -> None:
     harness = CoreHarness()
     attempt = harness.send("w1")
     harness.request.client_disconnected = True
--- a/tests/test_remote_hold.py
+++ b/tests/test_remote_hold.py
@@ -1,4 +1,4 @@
-"""What hosts hold for a request: the table that the code runs by, its clock, and the judge of records."""
+"""Tests of the transition table of holds, of their clock, and of the audit of the hosts' records."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 
 
 def hold_after(*events: HoldEvent) -> RemoteHold:
-    """The events come 100 ms apart, the first at 100 ms."""
+    """Returns a hold after the events, which are 100 ms apart and start at 100 ms."""
     hold = RemoteHold()
     for n, event in enumerate(events, 1):
         hold.apply(100.0 * n, event)
     return hold
 
 
-def test_every_event_is_known_in_every_state() -> None:
+def test_transition_table_covers_every_event_in_every_state() -> None:
     assert set(TRANSITIONS) == set(HoldEvent)
     assert all(set(row) == set(HoldState) for row in TRANSITIONS.values())
 
 
-def test_every_state_can_be_reached_and_left_for_nothing() -> None:
+def test_every_state_is_reachable_and_a_release_ends_it() -> None:
     reached = {HoldState.NOTHING}
     for _ in HoldState:
         reached |= {row[state].state for state in reached for row in TRANSITIONS.values()}
@@ -49,16 +49,16 @@
     assert all(TRANSITIONS[HoldEvent.RELEASED][state].state is HoldState.NOTHING for state in HoldState)
 
 
-def test_the_clock_stands_still_where_nothing_is_unclaimed_and_runs_where_something_may_be() -> None:
+def test_clock_runs_exactly_in_states_in_which_something_may_be_unclaimed() -> None:
     for row in TRANSITIONS.values():
         for transition in row.values():
             stops = transition.clock is ClockEffect.STOPS
             assert stops is (transition.state in (HoldState.NOTHING, HoldState.CLAIMED))
 
 
-def test_the_page_shows_the_table_that_the_code_runs_by() -> None:
+def test_architecture_page_shows_the_transition_table() -> None:
     row = re.compile(r"^\| `([a-z ]+)` \| (.+) \|$", re.MULTILINE)
-    shown = dict(row.findall(ARCHITECTURE.read_text().partition("## What hosts hold")[2]))
+    documented = dict(row.findall(ARCHITECTURE.read_text().partition("## What hosts hold")[2]))
     table = {
         event.value: " | ".join(
             f"`{TRANSITIONS[event][state].state.value}`, {TRANSITIONS[event][state].clock.value}"
@@ -66,11 +66,11 @@
         )
         for event in HoldEvent
     }
-    assert {name: shown.get(name) for name in table} == table
+    assert {name: documented.get(name) for name in table} == table
 
 
 @pytest.mark.parametrize(
-    ("events", "state", "since"),
+    ("events", "state", "unclaimed_since"),
     [
         ((HoldEvent.RESERVATION_WRITTEN,), HoldState.RESERVATION_UNANSWERED, 100.0),
         ((HoldEvent.RESERVATION_WRITTEN, HoldEvent.SLOT_CONFIRMED), HoldState.CLAIMED, None),
@@ -82,14 +82,14 @@
         ((HoldEvent.STATE_LEFT, HoldEvent.RELEASED_EARLY), HoldState.SETTLING, 200.0),
     ],
 )
-def test_the_clock_counts_from_the_first_moment_at_which_something_may_be_held(
-    events: tuple[HoldEvent, ...], state: HoldState, since: float | None
+def test_clock_starts_when_something_may_be_held_for_the_first_time(
+    events: tuple[HoldEvent, ...], state: HoldState, unclaimed_since: float | None
 ) -> None:
     hold = hold_after(*events)
-    assert (hold.state, hold.unclaimed_since) == (state, since)
+    assert (hold.state, hold.unclaimed_since) == (state, unclaimed_since)
 
 
-def test_the_summary_has_the_number_of_holds_and_the_age_of_the_oldest() -> None:
+def test_summary_counts_holds_and_has_the_age_of_the_oldest_unclaimed_one() -> None:
     holds = [
         hold_after(),
         hold_after(HoldEvent.STATE_LEFT),
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize(
-    ("records", "broken"),
+    ("records", "violated"),
     [
         ([(0.0, SLOT), (LIMIT_S - 0.01, RELEASE)], False),
         ([(0.0, SLOT), (LIMIT_S + 0.01, RELEASE)], True),
@@ -110,18 +110,18 @@
         ([(0.0, STATE), (LIMIT_S + 0.1, BEGUN), (LIMIT_S + 0.2, STREAM)], True),
         ([(0.0, STATE), (0.2, BEGUN), (3.0, STREAM), (4.0, ENDED)], False),
     ],
-    ids=["in time", "late", "never", "taken over", "release before the end", "begun late", "stream"],
+    ids=["in time", "late", "never", "claimed", "release before the end", "begun late", "stream"],
 )
-def test_the_judge_goes_by_what_hosts_wrote_down(
-    records: list[tuple[float, HostRecord]], broken: bool
+def test_hold_audit_reports_state_that_is_neither_claimed_nor_released_in_time(
+    records: list[tuple[float, HostRecord]], violated: bool
 ) -> None:
     evidence = HoldEvidence(ended_at=10.0)
     for at, record in records:
         evidence.record(at, record, "q1", "w1")
-    assert bool(audit_holds(evidence, RETENTION_S)) is broken
+    assert bool(audit_holds(evidence, RETENTION_S)) is violated
 
 
-def test_what_a_dispatcher_could_not_release_is_excused_until_it_runs_again() -> None:
+def test_hold_audit_excuses_the_time_in_which_the_dispatcher_did_not_run() -> None:
     evidence = HoldEvidence(ended_at=10.0)
     evidence.record(0.0, SLOT, "q1", "w1")
     evidence.record(3.2, RELEASE, "q1", "r1")
