--- a/violetstack/gossip/codec.py
+++ b/violetstack/gossip/codec.py
@@ -24,7 +24,7 @@
 FAILURE_CODE = 255
 MAX_LOAD_CODE = FAILURE_CODE - 1
 NOT_ANNOUNCED = -1  # as the last announced code of an endpoint: equals no code, so it is announced again
-SMALLEST_LOAD = 10.0  # the unit of the scale, in the policy's load units (priced reads or tokens)
+SMALLEST_LOAD = 10.0  # the unit of the scale, in the policy's load units (prefill cost or tokens)
 STEPS_PER_DOUBLING = 16.0
 SMALLEST_STEP = SMALLEST_LOAD / STEPS_PER_DOUBLING
 
--- a/violetstack/lease/node.py
+++ b/violetstack/lease/node.py
@@ -34,10 +34,10 @@
 
 FENCE_QUERY_INTERVAL_MS = 500.0
 DISCARD_INTERVAL_MS = 1_000.0  # between two calls of `Acceptor.discard_expired`
-COOLDOWN_LEASE_DURATIONS = 2.0  # for so many lease durations a node does not campaign for a lease it resigned
+COOLDOWN_LEASE_DURATIONS = 2.0  # how long a node does not campaign for a lease that it has resigned
 MIN_TIMER_DELAY_MS = 1.0
 PREFERENCE_HASH_BYTES = 8
-DATAGRAMS_PER_S = 200.0
+DEFAULT_DATAGRAMS_PER_S = 200.0
 ACCEPTOR_MESSAGES = frozenset(
     {MessageType.PREPARE, MessageType.PROPOSE, MessageType.RELEASE, MessageType.FENCE_QUERY}
 )
@@ -61,7 +61,7 @@
     incarnation: int
     duration_ms: float
     keys: tuple[bytes, ...] = ()
-    datagrams_per_s: float = DATAGRAMS_PER_S
+    datagrams_per_s: float = DEFAULT_DATAGRAMS_PER_S
     restarted: bool = True
 
 
--- a/violetstack/recovery/cached_endpoints.py
+++ b/violetstack/recovery/cached_endpoints.py
@@ -22,7 +22,7 @@
 class CacheStatus(Enum):
     """The reliability of a cached endpoint; the values appear in the log."""
 
-    FRESH = "fresh"  # listed within the warm-up time, so its listed start time is used
+    FRESH = "fresh"  # listed so recently that an endpoint restarted since would still be warming up
     STALE = "stale"  # may have restarted since it was listed: used as if it had just started
     REJECTED = "rejected"  # not used
 
