--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease protocol in virtual time: under random faults, and by a search of every order of events."""
+"""The lease protocol in virtual time: simulations with random faults, and model checking."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from violetstack.simulation.model_checker import Bounds, ModelChecker
 
 LOSSES = (0.0, 0.1, 0.3, 0.6)
-SHOWN_SOONER_BY_SMALL_CLUSTERS = {"lease held past its expiry", "quorum one too small"}
+FOUND_SOONER_IN_SMALL_CLUSTERS = {"lease held past its expiry", "quorum one too small"}
 
 
 def find_violation(seeds: int, *, size: int = 5, duration_ms: float = 60_000.0) -> list[str]:
-    """Simulate clusters with faults until one violates the protocol."""
+    """Simulates clusters with faults until one violates the protocol; returns its violations."""
     for seed in range(seeds):
         cluster = Cluster(seed, size, loss=LOSSES[seed % len(LOSSES)])
         cluster.run(duration_ms)
@@ -44,16 +44,16 @@
 
 @pytest.mark.parametrize("fault", FOUND_BY_SIMULATION)
 def test_simulation_finds_an_injected_fault(fault: str) -> None:
-    """Either size of cluster may show it; the one that shows it sooner is searched first."""
-    large = partial(find_violation, 20, size=12, duration_ms=30_000.0)  # 5 acceptors of 12 dispatchers
+    """Clusters of either size may reveal the fault; the size that reveals it sooner is tried first."""
+    large = partial(find_violation, 20, size=12, duration_ms=30_000.0)  # 5 of 12 dispatchers are acceptors
     small = partial(find_violation, 40)  # all of 5 dispatchers are acceptors
-    searches = (small, large) if fault in SHOWN_SOONER_BY_SMALL_CLUSTERS else (large, small)
+    searches = (small, large) if fault in FOUND_SOONER_IN_SMALL_CLUSTERS else (large, small)
     with injected(fault):
         assert any(search() for search in searches)
 
 
 def test_no_order_of_events_within_bounds_violates_the_protocol() -> None:
-    """Larger bounds, and all faults with their shortest traces: benchmarks/lease_check.py."""
+    """benchmarks/lease_check.py checks larger bounds, and all faults with their shortest traces."""
     result = ModelChecker(Bounds((1, 1), 1, 0)).explore(10_000)
     assert result.complete
     assert result.violation == ""
@@ -69,7 +69,7 @@
     assert 10 <= len(result.trace) <= 14
 
 
-def test_lease_is_nearly_always_held_and_keeps_its_holder_without_faults() -> None:
+def test_without_faults_the_lease_is_held_nearly_always_and_rarely_changes_its_holder() -> None:
     for size, duration_ms in ((5, 60_000.0), (40, 20_000.0)):
         cluster = Cluster(1, size, loss=0.3, faults=False)
         cluster.run(duration_ms)
@@ -78,7 +78,7 @@
         assert cluster.holder_changes <= 2
 
 
-def test_killed_holder_is_followed_within_a_lease_and_a_little() -> None:
+def test_killed_holder_is_replaced_within_a_lease_duration_and_600_ms() -> None:
     for seed in range(10):
         cluster = Cluster(seed, 5, loss=0.0, faults=False)
         cluster.run(5_000.0)
@@ -106,7 +106,7 @@
     assert holder.node.views(holder.now())[0].reason == f"transferred to {successor.number}"
 
 
-def test_datagram_round_trip_and_rejection_of_anything_else() -> None:
+def test_datagrams_are_decoded_as_encoded_and_malformed_ones_are_rejected() -> None:
     messages = [
         Message(MessageType.PROPOSE, n, Ballot(7, node_id_of(3, n)), n, 2_000, None if n % 2 else n)
         for n in range(20)
@@ -115,9 +115,9 @@
     assert len(data) <= MAX_DATAGRAM_BYTES
     assert len(data) % 3 == 1
     assert decode(data) == (99, messages[:MAX_MESSAGES])
-    for bad in (b"", b"\0", data[:-1], b"xL" + data[2:], data[:2] + b"\2" + data[3:]):
+    for malformed in (b"", b"\0", data[:-1], b"xL" + data[2:], data[:2] + b"\2" + data[3:]):
         with pytest.raises(InvalidDatagramError):
-            decode(bad)
+            decode(malformed)
 
 
 def test_acceptors_are_spread_over_the_fleet() -> None:
--- a/tests/test_lease_node.py
+++ b/tests/test_lease_node.py
@@ -1,4 +1,4 @@
-"""Lease nodes in virtual time, and what they decide: restart permits and outlier checks."""
+"""Lease nodes in virtual time, and the restart permits and outlier checks that are based on them."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def node_settings(number: int, size: int, **options: Any) -> NodeSettings:
-    """The settings of a node in a tier that never had a holder."""
+    """Returns the settings of a node in a tier where no lease was ever held."""
     return NodeSettings(
         number=number,
         fleet_size=size,
@@ -44,7 +44,7 @@
 
 
 class Tier:
-    """Lease nodes that get each other's datagrams at once."""
+    """Lease nodes that receive each other's datagrams without delay."""
 
     def __init__(self, size: int, observer: LeaseObserver | None = None, **options: Any) -> None:
         self.now = 0.0
@@ -53,11 +53,11 @@
             LeaseNode(0.0, node_settings(n, size, **options), rng=rng, observer=observer) for n in range(size)
         ]
 
-    def run(self, duration_ms: float, each_step: Callable[[], object] = lambda: None) -> None:
+    def run(self, duration_ms: float, before_each_step: Callable[[], object] = lambda: None) -> None:
         until = self.now + duration_ms
         while self.now < until:
             self.now += STEP_MS
-            each_step()
+            before_each_step()
             for node in self.nodes:
                 for receiver, data in node.tick(self.now):
                     for other in self.nodes if receiver == ALL_PEERS else [self.nodes[receiver]]:
@@ -69,7 +69,7 @@
 
 
 class BroadcastRecorder(NullObserver):
-    """Keeps the broadcasts that were received by any node."""
+    """Records the broadcasts that any node receives."""
 
     def __init__(self) -> None:
         self.received: list[Broadcast] = []
@@ -79,7 +79,7 @@
 
 
 class CheckedNode(NullObserver):
-    """A node with outlier checks, and what they reported."""
+    """A node with outlier checks, which records their results."""
 
     def __init__(self, now: float, number: int, size: int, rng: random.Random, suspecting: set[int]) -> None:
         self.results: list[OutlierCheckResult] = []
@@ -100,73 +100,79 @@
         pass
 
 
-def test_restart_permits_are_counted_and_withdrawn() -> None:
+def test_restart_permits_are_limited_in_number_and_unused_ones_are_withdrawn() -> None:
     tier = Tier(5)
     permits = [RestartPermits(node, 2) for node in tier.nodes]
-    for each in permits[:4]:
-        each.request(tier.now)
-    tier.run(3_000.0, lambda: [each.held_permit(tier.now) for each in permits])
-    holders = [n for n, each in enumerate(permits) if each.held_permit(tier.now)]
+    for requester in permits[:4]:
+        requester.request(tier.now)
+    tier.run(3_000.0, lambda: [requester.held_permit(tier.now) for requester in permits])
+    holders = [n for n, requester in enumerate(permits) if requester.held_permit(tier.now)]
     assert len(holders) == 2
-    waiting = next(n for n in range(4) if n not in holders)
-    assert "is held by" in permits[waiting].denial_reason(tier.now)
-    permits[holders[0]].keep_until_exit()  # the other holder never uses its permit
+    without_permit = next(n for n in range(4) if n not in holders)
+    assert "is held by" in permits[without_permit].denial_reason(tier.now)
+    permits[holders[0]].keep_until_exit()  # the other holder neither uses its permit nor requests it again
 
     def repeat_request() -> None:
-        permits[waiting].request(tier.now)
-        for each in permits:
-            each.tick(tier.now)
-            each.held_permit(tier.now)
+        permits[without_permit].request(tier.now)
+        for requester in permits:
+            requester.tick(tier.now)
+            requester.held_permit(tier.now)
 
     tier.run(REQUEST_TIMEOUT_MS, repeat_request)
-    assert sorted((holders[0], waiting)) == [
-        n for n, each in enumerate(permits) if each.held_permit(tier.now)
+    assert sorted((holders[0], without_permit)) == [
+        n for n, requester in enumerate(permits) if requester.held_permit(tier.now)
     ]
 
 
-def test_resigned_lease_goes_to_another_and_its_old_broadcasts_are_rejected() -> None:
+def test_after_a_resignation_another_node_holds_the_lease_and_stale_broadcasts_are_rejected() -> None:
     recorder = BroadcastRecorder()
     tier = Tier(5, recorder)
     for node in tier.nodes:
         node.campaign("d")
     tier.run(500.0)
-    (old,) = tier.holders("d")
-    first = tier.nodes[old]
-    assert first.broadcast(tier.now, "d", 7)
-    assert not first.broadcast(tier.now, "unknown", 7)
+    (old_holder,) = tier.holders("d")
+    resigned_node = tier.nodes[old_holder]
+    assert resigned_node.broadcast(tier.now, "d", 7)
+    assert not resigned_node.broadcast(tier.now, "unknown", 7)
     tier.run(20.0)
     assert [broadcast.value for broadcast in recorder.received] == [7] * 4
-    message = Message(MessageType.BROADCAST, lease_id_of("d"), Ballot(1, first.node_id), 1, 9, first.node_id)
+    message = Message(
+        MessageType.BROADCAST, lease_id_of("d"), Ballot(1, resigned_node.node_id), 1, 9, resigned_node.node_id
+    )
     stale = encode([message], 0)
-    assert first.resign(tier.now, "d")
-    assert not first.resign(tier.now, "d")
+    assert resigned_node.resign(tier.now, "d")
+    assert not resigned_node.resign(tier.now, "d")
     tier.run(600.0)
-    (new,) = tier.holders("d")
-    assert new != old
-    assert first.views(tier.now)[0].reason == "resigned"
-    assert tier.nodes[new].broadcast(tier.now, "d", 8)
+    (new_holder,) = tier.holders("d")
+    assert new_holder != old_holder
+    assert resigned_node.views(tier.now)[0].reason == "resigned"
+    assert tier.nodes[new_holder].broadcast(tier.now, "d", 8)
     tier.run(20.0)
-    before = len(recorder.received)
+    received_before = len(recorder.received)
     for node in tier.nodes:
-        if node is not first:
-            node.receive(tier.now, old, stale)
-            node.receive(tier.now, (old + 1) % 5, stale)  # in another's name
-    assert len(recorder.received) == before
-    assert tier.holders("d") == [new]
+        if node is not resigned_node:
+            node.receive(tier.now, old_holder, stale)
+            node.receive(tier.now, (old_holder + 1) % 5, stale)  # in the name of another node
+    assert len(recorder.received) == received_before
+    assert tier.holders("d") == [new_holder]
     tier.run(3_000.0)
-    assert tier.holders("d") == [new]  # the first is a standby again, and does not take the lease back
+    assert tier.holders("d") == [new_holder]  # it competes again after its cooldown, but does not take over
 
 
 def test_forged_and_corrupted_datagrams_are_ignored() -> None:
     tier = Tier(3, keys=(b"new", b"old"))
     message = Message(MessageType.PREPARE, lease_id_of("d"), Ballot(9, node_id_of(1, 1)))
     node = tier.nodes[0]
-    good = encode([message], 5, 1, b"old")  # the key may change while both count
-    for bad in (encode([message], 5, 1), encode([message], 5, 1, b"other"), encode([message], 5, 2, b"new")):
+    authentic = encode([message], 5, 1, b"old")  # both keys are accepted while the key is being changed
+    for forged in (
+        encode([message], 5, 1),
+        encode([message], 5, 1, b"other"),
+        encode([message], 5, 2, b"new"),
+    ):
         with pytest.raises(InvalidDatagramError):
-            node.receive(0.0, 1, bad)
-    for bit in range(len(good) * 8):
-        flipped = bytearray(good)
+            node.receive(0.0, 1, forged)
+    for bit in range(len(authentic) * 8):
+        flipped = bytearray(authentic)
         flipped[bit // 8] ^= 1 << bit % 8
         with pytest.raises(InvalidDatagramError):
             node.receive(0.0, 1, bytes(flipped))
@@ -174,23 +180,25 @@
     assert acceptor is not None
     assert not acceptor.leases
     assert acceptor.highest_token < 1
-    node.receive(0.0, 1, good)
+    node.receive(0.0, 1, authentic)
     assert acceptor.highest_token >= 5
     assert len(acceptor.leases) == 1
-    assert len(good) <= MAX_DATAGRAM_BYTES
-    assert len(good) % 3 == 1
+    assert len(authentic) <= MAX_DATAGRAM_BYTES
+    assert len(authentic) % 3 == 1
 
 
-def test_token_bucket_allows_a_burst_and_then_its_rate() -> None:
+def test_token_bucket_allows_a_burst_and_then_limits_to_its_rate() -> None:
     bucket = TokenBucket(20.0 / 1_000.0, 10.0, 10.0)
     assert sum(bucket.try_take(now) for now in [0.0] * 50 + [1_000.0] * 50) == 10 + 10
 
 
 @pytest.mark.parametrize(
-    ("datagrams_per_s", "all_held", "least"), [(300.0, True, 8), (50.0, False, 3)], ids=["enough", "too few"]
+    ("datagrams_per_s", "all_held", "min_held_per_node"),
+    [(300.0, True, 8), (50.0, False, 3)],
+    ids=["enough", "too few"],
 )
 def test_datagrams_are_limited_and_many_leases_are_spread_evenly(
-    datagrams_per_s: float, all_held: bool, least: int
+    datagrams_per_s: float, all_held: bool, min_held_per_node: int
 ) -> None:
     names = [f"d{n}" for n in range(100)]
     tier = Tier(5, datagrams_per_s=datagrams_per_s)
@@ -200,50 +208,50 @@
     tier.run(6_000.0)
     held = [sum(node.holds(tier.now, name) for name in names) for node in tier.nodes]
     assert (sum(held) == 100) is all_held
-    assert min(held) >= least
-    assert sum(held) > 25  # with too few datagrams for all leases, some are held all the same
-    most = datagrams_per_s / 2.0 + datagrams_per_s * 6.0
-    assert all(node.outbox.datagrams_sent <= most for node in tier.nodes)
+    assert min(held) >= min_held_per_node
+    assert sum(held) > 25  # even if the datagrams do not suffice for all leases, some are held
+    max_datagrams = datagrams_per_s / 2.0 + datagrams_per_s * 6.0
+    assert all(node.outbox.datagrams_sent <= max_datagrams for node in tier.nodes)
 
 
-def test_one_dispatcher_checks_a_suspect_host_and_its_result_counts_for_all() -> None:
+def test_one_dispatcher_checks_a_suspect_host_and_its_result_applies_to_all() -> None:
     tier = Tier(4)
     suspecting = {0, 1, 2}
     rng = random.Random(5)
-    checked = [CheckedNode(0.0, n, 4, rng, suspecting) for n in range(4)]
-    tier.nodes = [each.node for each in checked]
+    checked_nodes = [CheckedNode(0.0, n, 4, rng, suspecting) for n in range(4)]
+    tier.nodes = [checked_node.node for checked_node in checked_nodes]
 
     def tick() -> None:
-        for each in checked:
-            each.checks.tick(tier.now)
+        for checked_node in checked_nodes:
+            checked_node.checks.tick(tier.now)
 
     tier.run(2_000.0, tick)
     (holder,) = tier.holders(lease_name("h"))
     assert holder in suspecting
-    for n, each in enumerate(checked):
+    for n, checked_node in enumerate(checked_nodes):
         avoid_ms = 0.0 if n == holder else LEASE_MS
-        assert OutlierCheckResult("h", avoid_ms, False) in each.results
-    tier.run(MAX_IDLE_CHECK_MS, tick)  # without any attempt, another dispatcher checks
-    (second,) = tier.holders(lease_name("h"))
-    assert second != holder
+        assert OutlierCheckResult("h", avoid_ms, False) in checked_node.results
+    tier.run(MAX_IDLE_CHECK_MS, tick)  # without any attempt, another dispatcher takes over the check
+    (second_holder,) = tier.holders(lease_name("h"))
+    assert second_holder != holder
     suspecting.clear()
-    checked[second].checks.attempt_observed(tier.now, "h", True)
+    checked_nodes[second_holder].checks.attempt_observed(tier.now, "h", True)
     tier.run(50.0, tick)
     assert tier.holders(lease_name("h")) == []
-    assert not any(each.checks.suspects for each in checked)
-    others = [each for n, each in enumerate(checked) if n != second]
-    assert all(each.results[-1] == OutlierCheckResult("h", 0.0, True) for each in others)
+    assert not any(checked_node.checks.suspects for checked_node in checked_nodes)
+    other_nodes = [checked_node for n, checked_node in enumerate(checked_nodes) if n != second_holder]
+    assert all(checked_node.results[-1] == OutlierCheckResult("h", 0.0, True) for checked_node in other_nodes)
     suspecting |= {0}
     tier.run(500.0, tick)
-    checks = checked[0].checks
-    checks.endpoints_listed(tier.now, ["g"])  # the host is gone
+    checks = checked_nodes[0].checks
+    checks.endpoints_listed(tier.now, ["g"])  # the host is no longer listed
     assert not checks.suspects
     assert tier.holders(lease_name("h")) == []
     checks.broadcast_received(tier.now, Broadcast(lease_id_of(lease_name("h")), 1, 99, SUCCEEDED))
-    checked[1].checks.broadcast_received(tier.now, Broadcast(lease_id_of("else"), 1, 99, CHECKING))
+    checked_nodes[1].checks.broadcast_received(tier.now, Broadcast(lease_id_of("else"), 1, 99, CHECKING))
 
 
-def test_policy_avoids_a_suspect_that_another_dispatcher_checks_only_with_evidence_of_its_own() -> None:
+def test_policy_avoids_a_host_that_another_dispatcher_checks_only_if_it_has_evidence_itself() -> None:
     harness = RouterHarness(make_endpoint("r0", 0), make_endpoint("r1", 0), make_endpoint("w0", 1))
     harness.handle(OutlierCheckResult("r0", 2_000.0, False), OutlierCheckResult("nobody", 2_000.0, False))
     endpoint = harness.endpoint("r0")
@@ -252,7 +260,7 @@
     for at in (harness.now, harness.now + 1.0):
         penalize(endpoint, 0.0, at)
     assert harness.router.outliers.is_suspect("r0")
-    endpoint.statistics.penalty.total = 0.0  # its failures no longer cost anything
+    endpoint.statistics.penalty.total = 0.0  # the penalty for its failures has decayed
     harness.handle(OutlierCheckResult("r0", 2_000.0, False), after=2.0)
     sent = []
     for _ in range(6):
