--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -40,7 +40,7 @@
 MAX_AGE_MS = 3_600_000.0
 
 
-def server(name: str, port: int, state: str = "active", started_ms: float = 0.0) -> ListedEndpoint:
+def listed_endpoint(name: str, port: int, state: str = "active", started_ms: float = 0.0) -> ListedEndpoint:
     return ListedEndpoint(name, f"127.0.0.1:{port}", "z", "prefill", 0, state, 1.0, started_ms)
 
 
@@ -49,17 +49,17 @@
     return {endpoint.listed.id: endpoint for endpoint in endpoints}
 
 
-def stored(age_ms: float, *servers: ListedEndpoint) -> EndpointSource:
-    return EndpointSource("disk", NOW - age_ms, 7, servers)
+def list_on_disk(age_ms: float, *endpoints: ListedEndpoint) -> EndpointSource:
+    return EndpointSource("disk", NOW - age_ms, 7, endpoints)
 
 
-def configured(*servers: ListedEndpoint) -> EndpointSource:
-    return EndpointSource("known", None, 3, servers)
+def configured_list(*endpoints: ListedEndpoint) -> EndpointSource:
+    return EndpointSource("known", None, 3, endpoints)
 
 
 @pytest.fixture
 def log_lines() -> Iterator[list[dict[str, Any]]]:
-    """The lines that are logged during a test."""
+    """The lines logged during a test."""
     lines: list[dict[str, Any]] = []
     observer = lines.append
     log.observers.append(observer)
@@ -71,34 +71,42 @@
     ("age_ms", "status", "started_ms"),
     [
         (1_000.0, CacheStatus.FRESH, 0.0),
-        (60_000.0, CacheStatus.STALE, NOW),  # it may have restarted: warming up from now on
+        (60_000.0, CacheStatus.STALE, NOW),  # it may have restarted: treated as warming up from now on
         (2 * MAX_AGE_MS, CacheStatus.REJECTED, 0.0),
         (-86_400_000.0, CacheStatus.STALE, NOW),  # the clock was set back by a day
     ],
 )
-def test_a_cached_endpoint_is_rated_by_the_age_of_its_list(
+def test_a_cached_endpoint_is_assessed_by_the_age_of_its_list(
     age_ms: float, status: CacheStatus, started_ms: float
 ) -> None:
-    endpoint = merged(stored(age_ms, server("a", 1)))["a"]
+    endpoint = merged(list_on_disk(age_ms, listed_endpoint("a", 1)))["a"]
     assert (endpoint.status, endpoint.listed.started_ms) == (status, started_ms)
 
 
-def test_the_most_recent_source_of_each_endpoint_counts() -> None:
-    found = merged(configured(server("a", 1), server("b", 2)), stored(5_000.0, server("a", 1, "leaving")))
-    assert (found["a"].status, found["a"].listed.state) == (CacheStatus.FRESH, "leaving")
-    assert found["b"].status is CacheStatus.REJECTED
-    assert "newer list" in found["b"].reason
-    alone = merged(configured(server("a", 1)), stored(5_000.0))
-    assert alone["a"].status is CacheStatus.STALE  # nothing is stored
+def test_the_most_recent_source_that_lists_an_endpoint_is_used() -> None:
+    cached = merged(
+        configured_list(listed_endpoint("a", 1), listed_endpoint("b", 2)),
+        list_on_disk(5_000.0, listed_endpoint("a", 1, "leaving")),
+    )
+    assert (cached["a"].status, cached["a"].listed.state) == (CacheStatus.FRESH, "leaving")
+    assert cached["b"].status is CacheStatus.REJECTED
+    assert "newer list" in cached["b"].reason
+    only_configured = merged(configured_list(listed_endpoint("a", 1)), list_on_disk(5_000.0))
+    assert only_configured["a"].status is CacheStatus.STALE  # no endpoint is stored
 
 
 def test_an_address_belongs_to_the_endpoint_that_started_last() -> None:
-    found = merged(
-        stored(1_000.0, server("old", 1, started_ms=5.0), server("new", 1, started_ms=9.0), server("c", 2))
+    cached = merged(
+        list_on_disk(
+            1_000.0,
+            listed_endpoint("old", 1, started_ms=5.0),
+            listed_endpoint("new", 1, started_ms=9.0),
+            listed_endpoint("c", 2),
+        )
     )
-    assert found["old"].status is CacheStatus.REJECTED
-    assert "new" in found["old"].reason
-    assert found["new"].status is found["c"].status is CacheStatus.FRESH
+    assert cached["old"].status is CacheStatus.REJECTED
+    assert "new" in cached["old"].reason
+    assert cached["new"].status is cached["c"].status is CacheStatus.FRESH
 
 
 @pytest.mark.parametrize("list_received", [False, True])
@@ -110,11 +118,13 @@
     async def verify() -> list[ListedEndpoint]:
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
         (closed,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        ports = [each.socket.getsockname()[1] for each in (listener, closed)]
+        ports = [bound_listener.socket.getsockname()[1] for bound_listener in (listener, closed)]
         await closed.aclose()
         cache = EndpointCache(warm_up_ms=WARM_UP_MS, max_age_ms=MAX_AGE_MS, rng=Random(1))
         known = EndpointListMessage(
-            3, True, [server("up", ports[0]), server("down", ports[1]), server("odd", -1)]
+            3,
+            True,
+            [listed_endpoint("up", ports[0]), listed_endpoint("down", ports[1]), listed_endpoint("odd", -1)],
         )
         usable = cache.load(known, StateSnapshot()).servers
         await cache.verify(lambda gone: removed.append(gone.id), lambda: list_received)
@@ -128,7 +138,7 @@
     assert events["recovered_endpoints_verified"]["reachable"] == (0 if list_received else 1)
 
 
-def test_a_start_passes_its_phases_and_begins_anew_when_the_list_becomes_empty() -> None:
+def test_a_start_goes_through_its_phases_and_restarts_when_the_list_becomes_empty() -> None:
     start = StartupPhases(0.0, 10_000.0)
     assert start.cache_loaded(0) is None
     assert start.phase is Phase.NO_ENDPOINTS
@@ -157,89 +167,89 @@
 
 
 class SilentDiscovery(Discovery):
-    """Accepts requests and never answers."""
+    """A service discovery that accepts requests and never answers."""
 
     async def handle(self, inbound: HttpRequest, connection: PeerConnection) -> None:
         await connection.until_closed()
         raise Break
 
 
-def test_a_dispatcher_that_was_killed_serves_from_stored_state_while_discovery_is_silent(
+def test_a_killed_dispatcher_serves_from_stored_state_while_discovery_does_not_answer(
     tmp_path: Path, log_lines: list[dict[str, Any]]
 ) -> None:
-    """Its configuration has no endpoint."""
+    """The dispatcher's configuration has no endpoints."""
     state: dict[str, Any] = {"state": {"folder": str(tmp_path / "state")}}
 
-    async def first(on: Stage) -> None:
-        assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "served"
-        assert on.daemon.state_writer is not None
-        assert on.daemon.watch is not None
-        await on.daemon.watch.responded.wait()
-        on.daemon.state_writer.store_learned_state()
-        await on.daemon.state_writer.flush()  # it is killed after this, without a drain
-
-    async def second(on: Stage) -> None:
-        assert (await ask_platform(on.platform, "q2", "orden")).outcome == "served"
-        assert {e.started_ms for e in on.daemon.core.endpoints.values()} == {None}  # the list is fresh
-
-    async def both() -> None:
-        reader = ModelHost("reader", "prefill")
-        writer = ModelHost("writer", "decode")
-        async with stage(reader, writer, chat=state) as on:
-            await first(on)
+    async def store_state(running: Stage) -> None:
+        assert (await ask_platform(running.platform, "q1", "consulta")).outcome == "served"
+        assert running.daemon.state_writer is not None
+        assert running.daemon.watch is not None
+        await running.daemon.watch.responded.wait()
+        running.daemon.state_writer.store_learned_state()
+        await running.daemon.state_writer.flush()  # the dispatcher is killed after this, not drained
+
+    async def serve_from_stored_state(running: Stage) -> None:
+        assert (await ask_platform(running.platform, "q2", "orden")).outcome == "served"
+        assert {e.started_ms for e in running.daemon.core.endpoints.values()} == {None}  # the list is fresh
+
+    async def scenario() -> None:
+        prefill_host = ModelHost("reader", "prefill")
+        decode_host = ModelHost("writer", "decode")
+        async with stage(prefill_host, decode_host, chat=state) as running:
+            await store_state(running)
             silent = SilentDiscovery()
-            await on.nursery.start(silent.serve)
-            told = {**on.told, "known": {"version": 0, "full": True, "servers": []}}
-            told |= {"discovery": silent.address, "mgmt": ""}
-            on.daemon.nursery.cancel_scope.cancel()
-            daemon = Daemon(Config(msgspec.convert(told, NodeConfig), on.chat_file))
-            serving = await on.nursery.start(daemon.serve)
-            await second(replace(on, daemon=daemon, platform=serving.platform))
-
-    trio.run(both)
+            await running.nursery.start(silent.serve)
+            node_config = {**running.told, "known": {"version": 0, "full": True, "servers": []}}
+            node_config |= {"discovery": silent.address, "mgmt": ""}
+            running.daemon.nursery.cancel_scope.cancel()
+            daemon = Daemon(Config(msgspec.convert(node_config, NodeConfig), running.chat_file))
+            serving = await running.nursery.start(daemon.serve)
+            await serve_from_stored_state(replace(running, daemon=daemon, platform=serving.platform))
+
+    trio.run(scenario)
     phases = [(row["old"], row["new"]) for row in log_lines if row["event"] == "recovery_phase_changed"]
     assert phases[-1] == ("no_endpoints", "cached_endpoints")
     assert [row["fresh"] for row in log_lines if row["event"] == "endpoints_recovered"] == [0, 2]
     assert [row["servers"] for row in log_lines if row["event"] == "estimates_restored"] == [2]
 
 
-def test_a_list_that_lacks_most_endpoints_is_overridden_for_a_while_and_a_drain_never_is() -> None:
-    current = {name: server(name, n) for n, name in enumerate("abcd")}
+def test_a_list_that_lacks_most_endpoints_is_overridden_for_a_limited_time_but_a_drain_is_not() -> None:
+    current = {name: listed_endpoint(name, n) for n, name in enumerate("abcd")}
     threshold = PanicThreshold(0.5, 30_000.0)
-    one_missing = [server("a", 0), server("b", 1), server("c", 2)]
+    one_missing = [listed_endpoint("a", 0), listed_endpoint("b", 1), listed_endpoint("c", 2)]
     assert threshold.check(NOW, current, one_missing) is None
-    retained = threshold.check(NOW, current, [server("b", 1, "leaving")])
+    retained = threshold.check(NOW, current, [listed_endpoint("b", 1, "leaving")])
     assert retained is not None
     assert retained.until == NOW + 30_000.0
     assert {(s.id, s.started_ms) for s in retained.endpoints} == {("a", NOW), ("c", NOW), ("d", NOW)}
     assert threshold.check(NOW + 29_000.0, current, []) is not None
-    assert threshold.check(NOW + 30_000.0, current, []) is None  # confirmed after the time: accepted
+    assert threshold.check(NOW + 30_000.0, current, []) is None  # accepted after the retention time
     assert PanicThreshold(float("inf"), 1.0).check(NOW, current, []) is None  # turned off
 
 
-def test_an_empty_list_below_the_panic_threshold_does_not_end_the_service(
+def test_an_empty_list_that_reaches_the_panic_threshold_does_not_stop_serving(
     tmp_path: Path, log_lines: list[dict[str, Any]]
 ) -> None:
-    """And an endpoint that cannot be reached is removed."""
+    """An endpoint that cannot be reached is removed."""
     state: dict[str, Any] = {"state": {"folder": str(tmp_path / "state"), "doubt": 0.5}}
 
-    async def story() -> None:
-        reader = ModelHost("reader", "prefill")
-        writer = ModelHost("writer", "decode")
-        async with stage(reader, writer, chat=state) as on:
-            assert on.daemon.watch is not None
-            await on.daemon.watch.responded.wait()
-            on.discovery.changes = []
-            on.discovery.version = 9
-            on.daemon.watch.request_list()
+    async def scenario() -> None:
+        prefill_host = ModelHost("reader", "prefill")
+        decode_host = ModelHost("writer", "decode")
+        async with stage(prefill_host, decode_host, chat=state) as running:
+            assert running.daemon.watch is not None
+            await running.daemon.watch.responded.wait()
+            running.discovery.changes = []
+            running.discovery.version = 9
+            running.daemon.watch.request_list()
             while not any(line["event"] == "endpoint_list_loss_suspected" for line in log_lines):
                 await trio.sleep(0.01)
-            answers = [await ask_platform(on.platform, f"q{n}", "consulta") for n in range(2)]
+            answers = [await ask_platform(running.platform, f"q{n}", "consulta") for n in range(2)]
             assert "served" in [answer.outcome for answer in answers]
-            on.daemon.endpoints.remove_unreachable(ListedEndpoint("reader"))
-            assert set(on.daemon.core.endpoints) == {"writer"}
+            running.daemon.endpoints.remove_unreachable(ListedEndpoint("reader"))
+            assert set(running.daemon.core.endpoints) == {"writer"}
 
-    trio.run(story)
+    trio.run(scenario)
 
 
 def test_retry_after_has_jitter_until_a_list_is_received() -> None:
@@ -253,8 +263,8 @@
         return times
 
     times = trio.run(retry_times)
-    without_list = times[:50]
-    assert min(without_list) >= 500.0
-    assert max(without_list) <= 1000.0
-    assert len(set(without_list)) == 50
+    times_without_list = times[:50]
+    assert min(times_without_list) >= 500.0
+    assert max(times_without_list) <= 1000.0
+    assert len(set(times_without_list)) == 50
     assert times[-1] == 400.0
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Stored state: every crash, cut and flipped bit leaves a state that was written, and never a wrong one."""
+"""Stored state: after a crash, a truncation or a flipped bit, recovery yields a state that was written."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from violetstack.state.snapshot import EndpointMessage, StateSnapshot, encode_endpoints, encode_learned
 from violetstack.state.store import MIN_LOG_BYTES, SnapshotStore, recover
 
-UNKNOWN_KIND = 99  # of a later release
+UNKNOWN_KIND = 99  # a kind of record that a later release might write
 
 
 class CrashError(Exception):
-    """The machine stops here."""
+    """Simulates that the machine crashes."""
 
 
 class CrashingDirectory:
-    """A directory in memory that crashes at the n-th operation, which is then done in part or not at all."""
+    """A directory in memory that crashes at operation `crash_at`, which is then partly done or not at all."""
 
     def __init__(self, crash_at: int = 10**9, seed: int = 0) -> None:
         self.files: dict[str, bytes] = {}
@@ -76,12 +76,12 @@
 
 
 def message(n: int) -> EndpointMessage:
-    """The n-th message of service discovery, with one endpoint."""
+    """Returns the n-th message of service discovery, with one endpoint."""
     return EndpointMessage(1000.0 * n, n, (ListedEndpoint(f"h{n}", f"127.0.0.1:{n}", "z", "prefill"),))
 
 
 def write_until_crash(directory: CrashingDirectory, count: int) -> int:
-    """Writes so many changes, one group each; returns how many were written before the crash."""
+    """Writes `count` changes, each in a group of its own; returns how many were written before the crash."""
     snapshot = StateSnapshot()
     written = 0
     try:
@@ -101,23 +101,23 @@
     return written
 
 
-def test_a_crash_at_any_operation_loses_nothing_that_was_written() -> None:
-    undisturbed = CrashingDirectory()
-    assert write_until_crash(undisturbed, 12) == 12
-    assert undisturbed.operations > 15  # with new generations, renames and removals
-    for crash_at in range(1, undisturbed.operations + 1):
+def test_after_a_crash_at_any_operation_all_written_changes_are_recovered() -> None:
+    without_crash = CrashingDirectory()
+    assert write_until_crash(without_crash, 12) == 12
+    assert without_crash.operations > 15  # including new generations, renames and removals
+    for crash_at in range(1, without_crash.operations + 1):
         directory = CrashingDirectory(crash_at, seed=crash_at)
         written = write_until_crash(directory, 12)
         recovered = recover(directory)
         assert len(recovered.snapshot.endpoints) in (written, written + 1), crash_at
         directory.crash_at = 10**9
-        store = SnapshotStore(directory, recovered)  # the next process goes on after it
+        store = SnapshotStore(directory, recovered)  # as in the next process
         store.write_snapshot(recovered.snapshot.encode())
         assert recover(directory).snapshot.endpoints == recovered.snapshot.endpoints
 
 
 def stored_state() -> tuple[CrashingDirectory, StateSnapshot]:
-    """A directory with a snapshot and a log, and the state in it."""
+    """Returns a directory with a snapshot and a log, and the state that they hold."""
     directory = CrashingDirectory()
     snapshot = StateSnapshot()
     harness = RouterHarness()
@@ -133,24 +133,26 @@
     return directory, snapshot
 
 
-def test_a_log_cut_at_any_byte_is_read_up_to_the_cut() -> None:
+def test_a_log_truncated_at_any_byte_is_recovered_up_to_the_last_complete_record() -> None:
     directory, snapshot = stored_state()
     assert recover(directory).snapshot == snapshot
     (log,) = [name for name in directory.files if name.endswith(".log")]
     complete = directory.files[log]
-    counts = set[int]()
-    sizes_with_two = list[int]()
+    recovered_counts = set[int]()
+    sizes_with_two_endpoints = list[int]()
     for size in range(len(complete)):
         directory.files[log] = complete[:size]
-        servers = recover(directory).snapshot.endpoints
-        counts.add(len(servers))
-        sizes_with_two += [size] if len(servers) == 2 else []
-        assert list(servers) == [f"h{n + 1}" for n in range(len(servers))]
-    assert counts == {1, 2}
-    assert sizes_with_two == list(range(sizes_with_two[0], len(complete)))  # each complete record counts
+        endpoints = recover(directory).snapshot.endpoints
+        recovered_counts.add(len(endpoints))
+        sizes_with_two_endpoints += [size] if len(endpoints) == 2 else []
+        assert list(endpoints) == [f"h{n + 1}" for n in range(len(endpoints))]
+    assert recovered_counts == {1, 2}
+    assert sizes_with_two_endpoints == list(
+        range(sizes_with_two_endpoints[0], len(complete))
+    )  # without gaps: each complete record is recovered
 
 
-def test_a_flipped_bit_is_detected() -> None:
+def test_any_flipped_bit_is_detected_and_no_wrong_state_is_recovered() -> None:
     directory, snapshot = stored_state()
     intact = dict(directory.files)
     for name, data in intact.items():
@@ -160,8 +162,8 @@
             directory.files = {**intact, name: bytes(corrupted)}
             recovered = recover(directory)
             assert recovered.problems
-            servers = recovered.snapshot.endpoints
-            assert all(snapshot.endpoints[key] == server for key, server in servers.items())
+            endpoints = recovered.snapshot.endpoints
+            assert all(snapshot.endpoints[key] == endpoint for key, endpoint in endpoints.items())
 
 
 @pytest.mark.parametrize(
@@ -177,7 +179,7 @@
         decode_file(data)
 
 
-def test_a_snapshot_under_the_name_of_another_generation_is_not_used() -> None:
+def test_a_snapshot_with_the_name_of_another_generation_or_without_records_is_not_used() -> None:
     directory, _ = stored_state()
     directory.files["state-7.snapshot"] = directory.files["state-1.snapshot"]
     directory.files["state-9.snapshot"] = encode_header(9)
@@ -189,7 +191,7 @@
     ]
 
 
-def test_a_write_that_failed_is_retried_with_a_snapshot(tmp_path: Path) -> None:
+def test_after_a_failed_write_a_snapshot_is_written_at_the_next_flush(tmp_path: Path) -> None:
     folder = tmp_path / "state"
 
     def store(writer: BackgroundWriter, n: int, *, complete: bool) -> None:
@@ -202,7 +204,7 @@
         store(writer, 1, complete=True)
         await writer.flush()
         folder.rename(tmp_path / "gone")
-        folder.write_text("not a folder any more")
+        folder.write_text("no longer a folder")
         store(writer, 2, complete=False)
         with pytest.raises(OSError, match=r"."):
             await writer.flush()
@@ -231,14 +233,14 @@
     assert len(recover(StateDirectory(str(tmp_path))).snapshot.endpoints) == 11
 
 
-def test_the_commands_show_stored_state_and_report_corruption(tmp_path: Path) -> None:
+def test_the_state_commands_show_stored_state_and_report_corruption(tmp_path: Path) -> None:
     directory, _ = stored_state()
     for name, data in directory.files.items():
         (tmp_path / name).write_bytes(data)
     run = CliRunner().invoke
-    shown = run(main, ["state", "show", str(tmp_path)]).output
-    assert "h3  prefill  127.0.0.1:3  active" in shown
-    assert "learned state of" in shown
+    output = run(main, ["state", "show", str(tmp_path)]).output
+    assert "h3  prefill  127.0.0.1:3  active" in output
+    assert "learned state of" in output
     assert run(main, ["state", "verify", str(tmp_path)]).exit_code == 0
     assert '"h3"' in run(main, ["state", "export", str(tmp_path)]).output
     (log,) = [name for name in directory.files if name.endswith(".log")]
