--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -1,6 +1,6 @@
-"""Records on disk that an earlier release wrote: the current code reads each value of them.
+"""Records on disk written by an earlier release: the current code reads every value, and writes them alike.
 
-The files are written by ``tests/fixtures/make_handover_records.py`` with the code of commit 5a5ffca.
+The files were written by ``tests/fixtures/make_handover_records.py`` with the code of commit 5a5ffca.
 """
 
 from __future__ import annotations
@@ -88,14 +88,14 @@
 )
 
 
-def test_a_handover_record_of_an_earlier_release_is_read_and_written_as_it_was() -> None:
+def test_a_handover_record_of_an_earlier_release_is_decoded_and_encoded_identically() -> None:
     stored = (FIXTURES / "handover.record").read_bytes()
     assert decode_record(stored, "n0", WRITTEN_AT_MS) == HANDOVER_RECORD
-    assert encode_record(HANDOVER_RECORD) == stored  # an earlier release that still runs reads it too
+    assert encode_record(HANDOVER_RECORD) == stored  # a process of the earlier release may still read it
 
 
 def test_the_learned_state_has_the_same_keys_in_the_state_folder() -> None:
-    """It is stored there as MessagePack by the same names."""
+    """The state folder stores it as MessagePack, with the keys of the handover record."""
     stored = (FIXTURES / "handover.record").read_bytes().partition(b"\n")[2]
     learned = msgspec.json.decode(stored)["learned"]
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(HANDOVER_RECORD.learned_state), strict=False) == {
@@ -105,7 +105,7 @@
     assert list(learned) == ["at", "sums", "begun", "reads", "waits", "tenants", "servers"]
 
 
-def test_a_stream_offer_of_an_earlier_release_is_read_and_written_as_it_was() -> None:
+def test_a_stream_offer_of_an_earlier_release_is_decoded_and_encoded_identically() -> None:
     stored = (FIXTURES / "stream_offer.json").read_bytes()
     assert decode_offer(stored, 2) == STREAM_OFFER
     assert encode_offer(STREAM_OFFER) == stored
@@ -122,33 +122,33 @@
 
 
 def test_an_idempotency_database_of_an_earlier_release_is_read(tmp_path: Path) -> None:
-    ticks = [0.0]
-    store = IdempotencyStore(copied_database(tmp_path), "n0/second", 86_400.0, 10.0, lambda: ticks[0])
+    clock_s = [0.0]
+    store = IdempotencyStore(copied_database(tmp_path), "n0/second", 86_400.0, 10.0, lambda: clock_s[0])
     assert store.claim(request("finished")) == (ClaimStatus.COMPLETED, b'{"outcome":1}')
     assert store.claim(request("failed")) == (ClaimStatus.FAILED, b"")
     assert store.claim(request("freed")) == (ClaimStatus.ACQUIRED, b"")
     assert store.claim(request("running")) == (ClaimStatus.RUNNING, b"")
     assert store.claim(request("finished", "another")) == (ClaimStatus.KEY_REUSED, b"")
-    ticks[0] = 20.0  # the earlier owner has not renewed its lease
+    clock_s[0] = 20.0  # the lease of the earlier owner has expired
     assert store.claim(request("running")) == (ClaimStatus.FAILED, b"")
     store.close()
 
 
 def test_the_idempotency_database_keeps_its_tables_and_values(tmp_path: Path) -> None:
-    """An earlier release may share the file: what the current code writes is what that release reads."""
+    """A process of an earlier release may use the same file and has to read what the current code writes."""
     path = copied_database(tmp_path)
     with sqlite3.connect(path) as database:
         tables_before = database.execute("SELECT name, sql FROM sqlite_master ORDER BY name").fetchall()
     database.close()
-    ticks = [0.0]
-    store = IdempotencyStore(path, "n0/second", 86_400.0, 10.0, lambda: ticks[0])
+    clock_s = [0.0]
+    store = IdempotencyStore(path, "n0/second", 86_400.0, 10.0, lambda: clock_s[0])
     store.renew_lease()
-    ticks[0] = 1.0
+    clock_s[0] = 1.0
     store.renew_lease()
     for outcome, response in ((Outcome.COMPLETED, b"answer"), (Outcome.FAILED, b""), (Outcome.RELEASED, b"")):
         written = KeyedRequest("acme", f"new-{outcome.name}", "body", f"new-{outcome.name}")
         store.claim(written)
-        ticks[0] = 2.0
+        clock_s[0] = 2.0
         store.record_outcome(written, outcome, response)
     store.close()
     with sqlite3.connect(path) as database:
@@ -167,9 +167,9 @@
     assert owners == [("n0/first", WRITTEN_AT_S), ("n0/second", WRITTEN_AT_S + 1.0)]
 
 
-def test_a_journal_of_levels_of_an_earlier_release_is_read_and_written_as_it_was() -> None:
+def test_a_journal_of_levels_of_an_earlier_release_is_decoded_and_encoded_identically() -> None:
     stored = (FIXTURES / "levels.journal").read_bytes()
-    changed = JournalRecord(
+    level_change = JournalRecord(
         level="reduced",
         recorded_s=WRITTEN_AT_S,
         since_s=WRITTEN_AT_S,
@@ -177,11 +177,11 @@
         cause="lag > 80 ms",
         readings={"lag": 91.5, "cpu": 0.25},
     )
-    in_force = JournalRecord(
+    heartbeat = JournalRecord(
         level="reduced", recorded_s=WRITTEN_AT_S + 2.0, since_s=WRITTEN_AT_S, is_heartbeat=True
     )
     journal = decode_journal(stored)
-    assert journal == Journal((changed, in_force), corrupt_lines=1)
+    assert journal == Journal((level_change, heartbeat), corrupt_lines=1)
     restored = restore_level(journal, ["normal", "reduced", "minimal"], WRITTEN_AT_S + 3.0, 60.0)
     assert (restored.rank, restored.since_s, restored.is_known) == (1, WRITTEN_AT_S, True)
     assert b"".join(map(encode_level_record, journal.records)) == stored[: stored.rindex(b"\n") + 1]
--- a/tests/test_stored_state.py
+++ b/tests/test_stored_state.py
@@ -1,4 +1,4 @@
-"""The state folder that release 5a5ffca wrote is read to the same values (fixtures/make_state_records.py)."""
+"""The state folder written by release 5a5ffca (fixtures/make_state_records.py) is read without changes."""
 
 from __future__ import annotations
 
@@ -70,11 +70,13 @@
     }
 
 
-@pytest.mark.parametrize(("lost", "generation"), [("state-2.snapshot", 1), ("state-2.log", 2)])
-def test_what_is_left_of_an_earlier_release_is_read(tmp_path: Path, lost: str, generation: int) -> None:
+@pytest.mark.parametrize(("missing", "generation"), [("state-2.snapshot", 1), ("state-2.log", 2)])
+def test_with_a_missing_file_the_remaining_files_of_an_earlier_release_are_read(
+    tmp_path: Path, missing: str, generation: int
+) -> None:
     """Both the first generation and the second snapshot hold the list of version 8."""
     folder = stored_copy(tmp_path)
-    (folder / lost).unlink()
+    (folder / missing).unlink()
     recovered = recover(StateDirectory(str(folder)))
     assert (recovered.generation, recovered.problems) == (generation, [])
     assert json_of(recovered.snapshot) == {
@@ -85,8 +87,8 @@
     }
 
 
-def test_what_is_written_now_has_the_form_of_the_earlier_release(tmp_path: Path) -> None:
-    """An older version may be started after a newer one, and has to read its files."""
+def test_a_new_snapshot_has_the_format_of_the_earlier_release(tmp_path: Path) -> None:
+    """An older release may be started after a newer one and has to read its files."""
     folder = stored_copy(tmp_path)
     directory = StateDirectory(str(folder))
     recovered = recover(directory)
