--- a/tests/test_endpoint_restart.py
+++ b/tests/test_endpoint_restart.py
@@ -1,4 +1,4 @@
-"""A host that restarts under its old id holds nothing of what it held before."""
+"""A host that restarts with an unchanged id has lost its reserved slots."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 )
 
 
-def reserve(harness: RouterHarness) -> tuple[str, str]:
-    """A request in its prefill, and the host that has confirmed a slot for it."""
+def request_with_reserved_slot(harness: RouterHarness) -> tuple[str, str]:
+    """Returns the id of a request that is being prefilled, and the host that reserved a slot for it."""
     request = harness.submit()
     prefill = harness.only_action(SendAttempt)
     slot = harness.only_action(ReserveDecodeSlot)
@@ -21,19 +21,19 @@
     return request, slot.server
 
 
-def test_a_slot_at_a_host_that_restarted_is_not_used() -> None:
-    """The decode followed its slot to the cold host, past its slow start, and was turned away there."""
+def test_a_slot_reserved_before_a_restart_of_its_host_is_not_used() -> None:
+    """Regression: the decode went to the restarted host despite its slow start, and was rejected there."""
     harness = RouterHarness()
-    request, host = reserve(harness)
+    request, host = request_with_reserved_slot(harness)
     harness.update_endpoints(UpdateScope.DELTA, make_endpoint(host, 1, started_ms=harness.now))
     assert harness.only_action(ReserveDecodeSlot).server != host
     harness.finish_attempt(request, AttemptStatus.PREFILLED)
     assert harness.only_action(SendAttempt).server != host
 
 
-def test_a_slot_is_used_while_its_host_goes_on() -> None:
+def test_a_reserved_slot_is_used_if_its_host_did_not_restart() -> None:
     harness = RouterHarness()
-    request, host = reserve(harness)
+    request, host = request_with_reserved_slot(harness)
     harness.update_endpoints(UpdateScope.DELTA, make_endpoint(host, 1))
     harness.finish_attempt(request, AttemptStatus.PREFILLED)
     assert harness.only_action(SendAttempt).server == host
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,7 +1,8 @@
-"""Who is refused: neither the largest requests nor a set of sessions, in virtual time over the real module.
+"""Fairness of rejections to long requests and to sessions, with the real policy in simulated time.
 
-A quiet day here: four readers that read one prompt after another, at half to three quarters of what they can,
-lengths spread as on the platform (some ten times from the median to the largest), turns of conversations.
+Four prefill hosts process one prompt after another, at 0.5 to 1.3 of their capacity. Prompt lengths are
+distributed as on the platform, where the longest are about ten times the median, and requests are turns of
+conversations.
 """
 
 from __future__ import annotations
@@ -36,9 +37,9 @@
     UpdateScope,
 )
 
-RATE = 18.0  # prompt tokens that a reader reads in a millisecond
-READERS = [f"r{n}" for n in range(4)]
-WRITERS = [f"w{n}" for n in range(4)]
+TOKENS_PER_MS = 18.0  # prompt tokens that a host prefills per millisecond
+PREFILL_HOSTS = [f"r{n}" for n in range(4)]
+DECODE_HOSTS = [f"w{n}" for n in range(4)]
 CLASSES = (
     replace(
         IDEMPOTENT_CLASS,
@@ -57,46 +58,46 @@
 )
 
 
-class Day:
-    """One front among others that it hears, its clock, and hosts that do as they are told."""
+class Simulation:
+    """One dispatcher that receives gossip from another one, its clock, and its hosts."""
 
     def __init__(self, seed: int, load: float, seconds: float) -> None:
         self.random = Random(seed)
         self.router = Router(replace(SETTINGS, classes=CLASSES, gossip_allowed=True, seed=seed))
-        self.heap: list[tuple[float, int, Any]] = []
+        self.events: list[tuple[float, int, Any]] = []
         self.count = 0
         self.now = 0.0
-        self.until = seconds * 1000.0
-        self.free_at = dict.fromkeys(READERS, 0.0)
-        self.asked: dict[str, Request] = {}
-        self.answers: dict[str, str] = {}
-        self.out: dict[tuple[str, int], tuple[str, float]] = {}
+        self.end_ms = seconds * 1000.0
+        self.free_at = dict.fromkeys(PREFILL_HOSTS, 0.0)
+        self.requests: dict[str, Request] = {}
+        self.outcomes: dict[str, str] = {}
+        self.attempts: dict[tuple[str, int], tuple[str, float]] = {}
         self.ended: set[tuple[str, int]] = set()
-        hosts = [make_endpoint(n, 0) for n in READERS] + [make_endpoint(n, 1) for n in WRITERS]
-        self.feed(EndpointUpdate(UpdateScope.SNAPSHOT, tuple(hosts), 1))
-        mean = sum(self.length() for _ in range(2000)) / 2000
-        self.gap = mean / (load * RATE * len(READERS))
-        self.at(0.0, self.arrive)
-        self.at(0.0, self.hear)
-        while self.heap:
-            self.now, _, act = heapq.heappop(self.heap)
-            act()
-
-    def at(self, when: float, act: Any) -> None:
+        hosts = [make_endpoint(n, 0) for n in PREFILL_HOSTS] + [make_endpoint(n, 1) for n in DECODE_HOSTS]
+        self.process(EndpointUpdate(UpdateScope.SNAPSHOT, tuple(hosts), 1))
+        mean_length = sum(self.prompt_length() for _ in range(2000)) / 2000
+        self.mean_gap_ms = mean_length / (load * TOKENS_PER_MS * len(PREFILL_HOSTS))
+        self.schedule(0.0, self.add_request)
+        self.schedule(0.0, self.receive_gossip)
+        while self.events:
+            self.now, _, event = heapq.heappop(self.events)
+            event()
+
+    def schedule(self, time: float, event: Any) -> None:
         self.count += 1
-        heapq.heappush(self.heap, (when, self.count, act))
+        heapq.heappush(self.events, (time, self.count, event))
 
-    def length(self) -> float:
+    def prompt_length(self) -> float:
         return min(28_000.0, max(60.0, self.random.lognormvariate(8.6, 0.75)))
 
-    def hear(self) -> None:
-        self.feed(GossipReceived(1, encode_datagram([(endpoint_tag("elsewhere"), encode_load(0.0))])))
-        if self.now < self.until:
-            self.at(self.now + 500.0, self.hear)
+    def receive_gossip(self) -> None:
+        self.process(GossipReceived(1, encode_datagram([(endpoint_tag("elsewhere"), encode_load(0.0))])))
+        if self.now < self.end_ms:
+            self.schedule(self.now + 500.0, self.receive_gossip)
 
-    def arrive(self) -> None:
+    def add_request(self) -> None:
         self.count += 1
-        session = f"s{self.random.randrange(1 + len(self.asked) // 2)}"
+        session = f"s{self.random.randrange(1 + len(self.requests) // 2)}"
         request = Request(
             f"q{self.count}",
             self.random.randrange(2),
@@ -105,62 +106,67 @@
             7500.0,
             None,
             None,
-            self.length(),
+            self.prompt_length(),
             0.0,
             200.0,
             False,
             False,
         )
-        self.asked[request.id] = request
-        self.feed(request)
-        if self.now < self.until:
-            self.at(self.now + self.random.expovariate(1.0 / self.gap), self.arrive)
+        self.requests[request.id] = request
+        self.process(request)
+        if self.now < self.end_ms:
+            self.schedule(self.now + self.random.expovariate(1.0 / self.mean_gap_ms), self.add_request)
 
-    def feed(self, *events: Event) -> None:
+    def process(self, *events: Event) -> None:
         for action in self.router.handle(self.now, list(events)):
             match action:
                 case SendAttempt():
-                    self.send(action, sum(key[0] == action.id for key in self.out))
+                    self.start_attempt(action, sum(key[0] == action.id for key in self.attempts))
                 case ReserveDecodeSlot():
-                    note = ReservationResult(action.id, "", 0, True)
-                    self.at(self.now + 5.0, lambda note=note: self.feed(note))
+                    result = ReservationResult(action.id, "", 0, True)
+                    self.schedule(self.now + 5.0, lambda result=result: self.process(result))
                 case StartTimer():
-                    due = TimerFired(action.token)
-                    self.at(self.now + action.delay_ms, lambda due=due: self.feed(due))
+                    fired = TimerFired(action.token)
+                    self.schedule(self.now + action.delay_ms, lambda fired=fired: self.process(fired))
                 case CancelAttempt():
-                    self.end(action.id, action.attempt, AttemptStatus.CANCELLED)
+                    self.end_attempt(action.id, action.attempt, AttemptStatus.CANCELLED)
                 case RejectRequest() | FailRequest():
-                    self.answers[action.id] = "refused"
+                    self.outcomes[action.id] = "rejected"
 
-    def send(self, action: SendAttempt, n: int) -> None:
-        self.out[action.id, n] = action.server, self.now
+    def start_attempt(self, action: SendAttempt, number: int) -> None:
+        self.attempts[action.id, number] = action.server, self.now
         if action.server in self.free_at:
-            begins = max(self.now, self.free_at[action.server])
-            ends = begins + self.asked[action.id].prompt_tokens / RATE
-            self.free_at[action.server] = ends
-            self.at(ends, lambda: self.end(action.id, n, AttemptStatus.PREFILLED))
+            start_ms = max(self.now, self.free_at[action.server])
+            end_ms = start_ms + self.requests[action.id].prompt_tokens / TOKENS_PER_MS
+            self.free_at[action.server] = end_ms
+            self.schedule(end_ms, lambda: self.end_attempt(action.id, number, AttemptStatus.PREFILLED))
         else:
-            begun = StreamStarted(action.id, action.server, n, 60.0)
-            self.at(self.now + 60.0, lambda: self.feed(begun))
-            self.at(self.now + 900.0, lambda: self.end(action.id, n, AttemptStatus.OK))
+            started = StreamStarted(action.id, action.server, number, 60.0)
+            self.schedule(self.now + 60.0, lambda: self.process(started))
+            self.schedule(self.now + 900.0, lambda: self.end_attempt(action.id, number, AttemptStatus.OK))
 
-    def end(self, request: str, n: int, status: AttemptStatus) -> None:
-        if (request, n) in self.ended:
+    def end_attempt(self, request: str, number: int, status: AttemptStatus) -> None:
+        if (request, number) in self.ended:
             return
-        self.ended.add((request, n))
-        server, since = self.out[request, n]
-        settled = status is AttemptStatus.OK
-        if settled:
-            self.answers[request] = "served"
-        outcome = AttemptFinished(request, server, n, status, self.now - since, settled, 0, None)
-        self.at(self.now, lambda: self.feed(outcome))
-
-
-def shares(day: Day, cls: int) -> tuple[float, float, float]:
-    """Answered of the class, of its largest tenth, and of the fifth below."""
-    rows = sorted((r for r in day.asked.values() if r.class_index == cls), key=lambda r: r.prompt_tokens)
-    served = [day.answers.get(r.id) == "served" for r in rows]
-    tenth = len(rows) // 10
+        self.ended.add((request, number))
+        server, sent_at = self.attempts[request, number]
+        finished = status is AttemptStatus.OK
+        if finished:
+            self.outcomes[request] = "served"
+        finished_event = AttemptFinished(
+            request, server, number, status, self.now - sent_at, finished, 0, None
+        )
+        self.schedule(self.now, lambda: self.process(finished_event))
+
+
+def served_shares(simulation: Simulation, class_index: int) -> tuple[float, float, float]:
+    """Returns the served share of the class, of its longest tenth, and of the fifth below."""
+    requests = sorted(
+        (r for r in simulation.requests.values() if r.class_index == class_index),
+        key=lambda r: r.prompt_tokens,
+    )
+    served = [simulation.outcomes.get(r.id) == "served" for r in requests]
+    tenth = len(requests) // 10
     return (
         sum(served) / len(served),
         sum(served[-tenth:]) / tenth,
@@ -169,26 +175,26 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("cls", [0, 1])
-@pytest.mark.parametrize(("load", "part"), [(0.5, 2 / 3), (0.75, 2 / 3), (1.3, 1 / 2)])
-def test_the_largest_requests_of_a_class_are_answered_nearly_as_often_as_the_rest(
-    seed: int, cls: int, load: float, part: float
+@pytest.mark.parametrize("class_index", [0, 1])
+@pytest.mark.parametrize(("load", "min_ratio"), [(0.5, 2 / 3), (0.75, 2 / 3), (1.3, 1 / 2)])
+def test_long_requests_are_served_nearly_as_often_as_the_whole_class(
+    seed: int, class_index: int, load: float, min_ratio: float
 ) -> None:
-    """By their price, which grows as the square, they were served half as often on a quiet day."""
-    every, largest, next_fifth = shares(Day(seed, load, 60.0), cls)
-    assert largest >= part * every and next_fifth >= part * every
+    """Regression: estimates by the quadratic cost served long requests half as often at low load."""
+    all_requests, longest, next_fifth = served_shares(Simulation(seed, load, 60.0), class_index)
+    assert longest >= min_ratio * all_requests and next_fifth >= min_ratio * all_requests
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("load", [0.5, 0.75])
-def test_no_set_of_sessions_is_refused_throughout_while_there_is_room(seed: int, load: float) -> None:
-    day = Day(seed, load, 60.0)
+def test_below_capacity_no_set_of_sessions_is_always_rejected(seed: int, load: float) -> None:
+    simulation = Simulation(seed, load, 60.0)
     turns: dict[str, list[bool]] = defaultdict(list)
-    for request in day.asked.values():
-        turns[str(request.session)].append(day.answers.get(request.id) != "served")
-    refused = sum(map(sum, turns.values())) / len(day.asked)
-    throughout = sum(all(each) for each in turns.values())
-    by_chance = sum(refused ** len(each) for each in turns.values())
-    assert (throughout - by_chance) / len(turns) <= 0.12
-    longer = [each for each in turns.values() if len(each) >= 4]
-    assert longer and sum(all(each) for each in longer) <= 0.02 * len(longer)
+    for request in simulation.requests.values():
+        turns[str(request.session)].append(simulation.outcomes.get(request.id) != "served")
+    rejected_share = sum(map(sum, turns.values())) / len(simulation.requests)
+    always_rejected = sum(all(rejections) for rejections in turns.values())
+    expected_by_chance = sum(rejected_share ** len(rejections) for rejections in turns.values())
+    assert (always_rejected - expected_by_chance) / len(turns) <= 0.12
+    long_sessions = [rejections for rejections in turns.values() if len(rejections) >= 4]
+    assert long_sessions and sum(all(rejections) for rejections in long_sessions) <= 0.02 * len(long_sessions)
