--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""The idempotency store: owners, leases and retention, with times that the tests set."""
+"""Tests of the idempotency store: owners, leases and retention, with simulated clocks."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Clock:
-    """The monotonic clock of one machine."""
+    """A simulated monotonic clock of one machine."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -32,7 +32,7 @@
 
 
 class TwoStores(NamedTuple):
-    """Two dispatchers that share a file, and the clock of each."""
+    """The stores of two dispatchers that share a file, and their clocks."""
 
     a: IdempotencyStore
     b: IdempotencyStore
@@ -60,32 +60,32 @@
     assert b.claim(RETRY) == (ClaimStatus.COMPLETED, b"response")
 
 
-@pytest.mark.parametrize("behind", [0.0, -3_600.0, 86_400.0])
-def test_an_owner_is_alive_while_its_heartbeat_changes_whatever_its_clock_shows(
-    tmp_path: Path, behind: float
+@pytest.mark.parametrize("offset_s", [0.0, -3_600.0, 86_400.0])
+def test_owner_is_alive_while_its_heartbeat_changes_whatever_its_clock_shows(
+    tmp_path: Path, offset_s: float
 ) -> None:
-    """Clocks of two machines are not compared, and one may hardly move."""
+    """Clocks of two machines are not compared, and the heartbeat changes even if a clock hardly advances."""
     a, b, clock_a, clock_b = two_stores(tmp_path)
-    clock_a.now = behind
+    clock_a.now = offset_s
     a.renew_lease()
     a.claim(REQUEST)
     for second in range(0, 40, 5):
         clock_b.now = float(second)
-        clock_a.now = behind + second / 1000.0
+        clock_a.now = offset_s + second / 1000.0
         a.renew_lease()
         b.renew_lease()
         assert b.claim(RETRY) == (ClaimStatus.RUNNING, b"")
     clock_b.now += 10.0
-    assert b.claim(RETRY) == (ClaimStatus.RUNNING, b"")  # the margin for clocks that drift by 1%
+    assert b.claim(RETRY) == (ClaimStatus.RUNNING, b"")  # within the margin for clock drift of 1%
     clock_b.now += 0.3
     assert b.claim(RETRY) == (ClaimStatus.FAILED, b"")
 
 
-def test_a_lease_ends_at_its_holder_before_another_declares_its_requests_failed(tmp_path: Path) -> None:
-    """Otherwise a process that was paused would send a request that another has declared failed."""
+def test_lease_ends_for_its_owner_before_another_owner_declares_its_requests_failed(tmp_path: Path) -> None:
+    """Otherwise a paused process could send a request that another process has declared failed."""
     rng = random.Random(4)
-    for round_ in range(12):
-        folder = tmp_path / str(round_)
+    for case in range(12):
+        folder = tmp_path / str(case)
         folder.mkdir()
         a, b, clock_a, clock_b = two_stores(folder)
         rate_a = rng.uniform(0.991, 1.009)
@@ -107,9 +107,9 @@
         assert failed
 
 
-def test_a_slow_read_of_a_heartbeat_is_no_proof_of_silence() -> None:
+def test_slow_read_of_a_heartbeat_does_not_make_the_owner_expire() -> None:
     monitor = LivenessMonitor(10.0)
-    assert not monitor.is_expired(0.0, 6.0, "a", 1)  # read up to 6 s after it was asked for
+    assert not monitor.is_expired(0.0, 6.0, "a", 1)  # the read took 6 s
     assert not monitor.is_expired(11.0, 11.0, "a", 1)
     assert monitor.is_expired(16.3, 16.3, "a", 1)
     assert not monitor.is_expired(16.3, 16.3, "a", 2)
@@ -120,8 +120,8 @@
     assert monitor.observed_owners == MAX_OBSERVED_OWNERS
 
 
-def test_an_owner_that_lost_its_lease_cannot_change_a_record(tmp_path: Path) -> None:
-    """Otherwise a dispatcher that was paused could release a request, and it would run again."""
+def test_owner_that_lost_its_lease_cannot_change_a_record(tmp_path: Path) -> None:
+    """Otherwise a paused dispatcher could release a request, which would then be executed again."""
     a, b, _, clock_b = two_stores(tmp_path)
     a.claim(REQUEST)
     assert b.claim(RETRY) == (ClaimStatus.RUNNING, b"")
@@ -131,7 +131,7 @@
     assert b.claim(RETRY) == (ClaimStatus.FAILED, b"")
 
 
-def test_a_released_request_can_be_claimed_once(tmp_path: Path) -> None:
+def test_released_request_can_be_claimed_by_one_owner(tmp_path: Path) -> None:
     a, b, _, _ = two_stores(tmp_path)
     a.claim(REQUEST)
     a.record_outcome(REQUEST, Outcome.RELEASED, b"")
@@ -139,7 +139,7 @@
     assert a.claim(REQUEST) == (ClaimStatus.RUNNING, b"")
 
 
-def test_ended_records_are_deleted_after_the_retention_and_running_ones_are_kept(tmp_path: Path) -> None:
+def test_finished_records_are_deleted_after_the_retention_and_running_ones_are_kept(tmp_path: Path) -> None:
     a, _, clock, _ = two_stores(tmp_path)
     running = KeyedRequest("acme", "k3", "other", "running")
     a.claim(REQUEST)
@@ -155,8 +155,8 @@
     assert a.claim(running) == (ClaimStatus.RUNNING, b"")
 
 
-def test_the_retention_is_measured_across_restarts_and_by_no_process_twice(tmp_path: Path) -> None:
-    """Two processes that run side by side, then one that starts when both have ended."""
+def test_retention_is_measured_across_restarts_and_time_is_not_counted_twice(tmp_path: Path) -> None:
+    """Two processes run at the same time; a third one starts after both have ended."""
     a, b, clock_a, clock_b = two_stores(tmp_path)
     a.claim(REQUEST)
     a.record_outcome(REQUEST, Outcome.COMPLETED, b"response")
@@ -177,13 +177,13 @@
     assert c.claim(RETRY) == (ClaimStatus.ACQUIRED, b"")
 
 
-def test_a_key_belongs_to_one_body_within_its_tenant(tmp_path: Path) -> None:
+def test_key_can_be_used_with_one_body_only_within_a_tenant(tmp_path: Path) -> None:
     a = two_stores(tmp_path).a
     a.claim(REQUEST)
     assert a.claim(KeyedRequest("acme", "k1", "other", "else"))[0] is ClaimStatus.KEY_REUSED
     assert a.claim(KeyedRequest("else", "k1", "other", "else"))[0] is ClaimStatus.ACQUIRED
 
 
-def test_a_file_that_cannot_be_opened_raises(tmp_path: Path) -> None:
+def test_claim_raises_if_the_file_cannot_be_opened(tmp_path: Path) -> None:
     with pytest.raises(IdempotencyStoreError):
         IdempotencyStore(tmp_path / "missing" / "orders.sqlite", "a", 1.0, 1.0).claim(REQUEST)
--- a/tests/test_idempotency_clock_steps.py
+++ b/tests/test_idempotency_clock_steps.py
@@ -1,4 +1,4 @@
-"""Records of non-idempotent requests outlive steps of the wall clock, in one process and across restarts."""
+"""Tests that idempotency records survive steps of the wall clock, within a process and across restarts."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 RETENTION_S = 600.0
 LEASE_S = 0.2
 STEP_S = 3_600.0
-RENEWALS_S = 0.25
-"""Long enough for several renewals of the lease, which delete expired records."""
+SEVERAL_RENEWALS_S = 0.25
+"""Time for several lease renewals, which also delete expired records."""
 
 
 async def serve(path: Path, story: Callable[[IdempotencyService], Awaitable[None]]) -> None:
-    """The life of one process: its store on `path`, until the story's end."""
+    """Runs a store on `path` as one process does, until the story has ended."""
     store = IdempotencyStore(path, f"owner {time.monotonic()}", RETENTION_S, LEASE_S)
     service = IdempotencyService(store, LEASE_S)
     async with trio.open_nursery() as nursery:
@@ -40,24 +40,24 @@
 
 
 async def expect_completed(service: IdempotencyService) -> None:
-    await trio.sleep(RENEWALS_S)
+    await trio.sleep(SEVERAL_RENEWALS_S)
     assert await service.claim(REQUEST) == (ClaimStatus.COMPLETED, b"response")
 
 
 def step_wall_clock(monkeypatch: pytest.MonkeyPatch, seconds: float) -> None:
-    true_time = time.time
-    monkeypatch.setattr(time, "time", lambda: true_time() + seconds)
+    original_time = time.time
+    monkeypatch.setattr(time, "time", lambda: original_time() + seconds)
 
 
 @pytest.mark.parametrize("step_s", [STEP_S, -STEP_S], ids=["forward", "back"])
-def test_a_completed_request_stays_recorded_over_a_step_of_the_wall_clock(
+def test_completed_request_stays_recorded_after_a_step_of_the_wall_clock(
     step_s: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a step forward, the next heartbeat deleted the record, and a retry ran the request again."""
+    """Guards against a heartbeat that deletes the record after a step forward, so a retry is executed."""
 
     async def story(service: IdempotencyService) -> None:
         await complete(service)
-        await trio.sleep(RENEWALS_S)
+        await trio.sleep(SEVERAL_RENEWALS_S)
         step_wall_clock(monkeypatch, step_s)
         await expect_completed(service)
 
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("step_s", [STEP_S, -STEP_S], ids=["forward", "back"])
-def test_a_completed_request_stays_recorded_if_the_clock_steps_between_two_processes(
+def test_completed_request_stays_recorded_if_the_clock_steps_between_two_processes(
     step_s: float, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     trio.run(serve, tmp_path / "orders.sqlite", complete)
--- a/tests/test_idempotency_disk_faults.py
+++ b/tests/test_idempotency_disk_faults.py
@@ -1,4 +1,4 @@
-"""The disk of the idempotency records fails for a while: requests are answered, outcomes recorded later."""
+"""Tests of temporary disk failures: requests are still answered, and their outcomes are recorded later."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 REQUEST = KeyedRequest("acme", "k1", "body", "digest")
 OTHER = KeyedRequest("acme", "k2", "body", "other")
 LEASE_S = 100.0
-BOUND_S = 2.0
+TEST_TIMEOUT_S = 2.0
 
 
 class FaultyStore(IdempotencyStore):
-    """A store whose disk is full while `full` is set, and whose claims wait while `unlocked` is not."""
+    """A store whose disk is full while `disk_full` is set; claims wait until `unlocked` is set."""
 
     def __init__(self, path: Path) -> None:
         super().__init__(path, "a", 600.0, LEASE_S)
-        self.full = False
+        self.disk_full = False
         self.unlocked = threading.Event()
         self.unlocked.set()
 
@@ -40,7 +40,7 @@
         return super().claim(request)
 
     def record_outcome(self, request: KeyedRequest, outcome: Outcome, response: bytes) -> bool:
-        if self.full:
+        if self.disk_full:
             raise IdempotencyStoreError("database or disk is full")
         return super().record_outcome(request, outcome, response)
 
@@ -55,14 +55,14 @@
     async def main(story: Story) -> None:
         store = FaultyStore(tmp_path / "orders.sqlite")
         service = IdempotencyService(store, LEASE_S)
-        with trio.fail_after(BOUND_S):
+        with trio.fail_after(TEST_TIMEOUT_S):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(service.run)
                 try:
                     await story(service, store)
                 finally:
                     store.unlocked.set()
-                    store.full = False
+                    store.disk_full = False
                 while service.pending_calls:
                     await trio.sleep(0.01)
                 nursery.cancel_scope.cancel()
@@ -71,28 +71,31 @@
     return lambda story: trio.run(main, story)
 
 
-def test_an_outcome_that_can_not_be_recorded_holds_up_no_other_request(play: Callable[[Story], None]) -> None:
-    """Its retries held the store's one thread: no other claim was answered before the disk had room."""
+def test_outcome_that_cannot_be_recorded_does_not_block_other_requests(play: Callable[[Story], None]) -> None:
+    """Guards against retries that block the store's only thread and so all claims until the disk has room."""
 
     async def story(service: IdempotencyService, store: FaultyStore) -> None:
-        assert (await service.claim(REQUEST, BOUND_S)).status is ClaimStatus.ACQUIRED
-        store.full = True
+        assert (await service.claim(REQUEST, TEST_TIMEOUT_S)).status is ClaimStatus.ACQUIRED
+        store.disk_full = True
         service.record_outcome(REQUEST, Outcome.COMPLETED, b"response")
-        assert (await service.claim(OTHER, BOUND_S)).status is ClaimStatus.ACQUIRED
-        assert (await service.claim(REQUEST, BOUND_S)).status is ClaimStatus.RUNNING
-        assert service.pending_calls  # a shutdown waits for the outcome
-        store.full = False
+        assert (await service.claim(OTHER, TEST_TIMEOUT_S)).status is ClaimStatus.ACQUIRED
+        assert (await service.claim(REQUEST, TEST_TIMEOUT_S)).status is ClaimStatus.RUNNING
+        assert service.pending_calls  # the shutdown waits for the outcome
+        store.disk_full = False
         while service.pending_calls:
             await trio.sleep(0.01)
-        assert await service.claim(REQUEST, BOUND_S) == (ClaimStatus.COMPLETED, b"response")
+        assert await service.claim(REQUEST, TEST_TIMEOUT_S) == (ClaimStatus.COMPLETED, b"response")
 
     play(story)
 
 
-def test_a_claim_is_given_up_in_time_and_released_if_it_was_committed_after_that(
+def test_claim_times_out_and_is_released_if_it_is_committed_later(
     play: Callable[[Story], None],
 ) -> None:
-    """Behind a locked file a client waited for longer than it had; its retry would find a running request."""
+    """Guards against a client that waits for a locked file beyond its deadline.
+
+    Without the release, its retry would find the request running.
+    """
 
     async def story(service: IdempotencyService, store: FaultyStore) -> None:
         store.unlocked.clear()
@@ -101,15 +104,15 @@
         store.unlocked.set()
         while service.pending_calls:
             await trio.sleep(0.01)
-        assert (await service.claim(REQUEST, BOUND_S)).status is ClaimStatus.ACQUIRED
+        assert (await service.claim(REQUEST, TEST_TIMEOUT_S)).status is ClaimStatus.ACQUIRED
 
     play(story)
 
 
-def test_an_unexpected_error_ends_no_service(
+def test_unexpected_error_does_not_end_the_service(
     play: Callable[[Story], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The shutdown waited for ever for the call that had ended."""
+    """Guards against a shutdown that waits forever for the failed call."""
 
     async def story(service: IdempotencyService, store: FaultyStore) -> None:
         def fail(*_: object) -> bool:
@@ -117,10 +120,10 @@
 
         monkeypatch.setattr(store, "claim", fail)
         with pytest.raises(IdempotencyStoreError):
-            await service.claim(REQUEST, BOUND_S)
+            await service.claim(REQUEST, TEST_TIMEOUT_S)
         while service.pending_calls:
             await trio.sleep(0.01)
         monkeypatch.undo()
-        assert (await service.claim(REQUEST, BOUND_S)).status is ClaimStatus.ACQUIRED
+        assert (await service.claim(REQUEST, TEST_TIMEOUT_S)).status is ClaimStatus.ACQUIRED
 
     play(story)
--- a/tests/test_idempotency_invariant.py
+++ b/tests/test_idempotency_invariant.py
@@ -1,4 +1,4 @@
-"""The core keeps the rules on repeated execution whatever the policy asks for, in virtual time."""
+"""Tests that the core enforces the rules on repeated execution, whatever the policy decides."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
     make_endpoint("m1", 2, zone=0, cell=0),
 )
 HOST_NAMES = [host.server for host in HOSTS]
-ENDS_AFTER_WRITING = (AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.REJECTED, AttemptStatus.OK)
-ENDS_BEFORE = (AttemptStatus.CONNECT_FAILED,)
+STATUSES_AFTER_WRITING = (AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.REJECTED, AttemptStatus.OK)
+STATUSES_BEFORE_WRITING = (AttemptStatus.CONNECT_FAILED,)
 
 
-class Written(NamedTuple):
-    """An attempt whose last byte went out, and when."""
+class WrittenAttempt(NamedTuple):
+    """An attempt whose last byte was written, and when."""
 
-    at: float
+    written_at: float
     attempt: Attempt
 
 
 class Play(CoreHarness):
-    """A core whose policy asks for anything, and a driver that acts as the real one; both are scripted.
+    """A simulated sequence of steps: a core, a policy that takes any action, and a driver like the real one.
 
     Attributes:
-        written: Attempts that hosts have received whole, in order.
-        rejected: Numbers of those that their host rejected, and so never ran.
-        ended: Numbers of those whose end the driver reported, with their connection closed or free.
-        broken: Rules that were broken.
+        written: Attempts that hosts have received completely, in order.
+        rejected: Numbers of the attempts that were rejected by their host and so not executed.
+        ended: Numbers of the attempts whose end the driver reported; their connection is closed or idle.
+        broken: The violations that the audit found.
     """
 
     def __init__(self, spec: ClassSettings, *, hedging: bool, cancel: bool, max_attempts: int) -> None:
@@ -68,18 +68,18 @@
         self.core.update_endpoints(self.now, EndpointUpdate(UpdateScope.SNAPSHOT, HOSTS, 2))
         self.run()
         self.started: set[int] = set()
-        self.written: list[Written] = []
+        self.written: list[WrittenAttempt] = []
         self.rejected: set[int] = set()
         self.ended: set[int] = set()
         self.broken: list[str] = []
         self.client_left_at: float | None = None
 
-    def ask_for(self, action: Action) -> None:
+    def perform(self, action: Action) -> None:
         self.run(action)
 
-    def pick(self, number: int) -> Attempt | None:
-        """One of the attempts that the driver still runs."""
-        running = [each for each in self.ports.attempts if not each.finished]
+    def select_running(self, number: int) -> Attempt | None:
+        """Returns one of the unfinished attempts, or None."""
+        running = [attempt for attempt in self.ports.attempts if not attempt.finished]
         return running[number % len(running)] if running else None
 
     def connect(self, attempt: Attempt) -> None:
@@ -93,12 +93,12 @@
         if self.core.may_continue_sending(self.now, attempt):
             self.audit(attempt)
             self.core.request_written(self.now, attempt)
-            self.written.append(Written(self.now, attempt))
+            self.written.append(WrittenAttempt(self.now, attempt))
 
     def end(self, attempt: Attempt, status: AttemptStatus) -> None:
         if attempt.request_written:
-            wanted = status is not AttemptStatus.OK or self.core.stream_started(self.now, attempt)
-            if status is AttemptStatus.CONNECT_FAILED or not wanted:
+            response_needed = status is not AttemptStatus.OK or self.core.stream_started(self.now, attempt)
+            if status is AttemptStatus.CONNECT_FAILED or not response_needed:
                 status = AttemptStatus.RESET
             if status is AttemptStatus.REJECTED:
                 self.rejected.add(attempt.number)
@@ -107,45 +107,45 @@
         self.ended.add(attempt.number)
         self.core.attempt_finished(self.now, attempt, status)
 
-    def leave(self) -> None:
+    def disconnect_client(self) -> None:
         self.client_left_at = self.client_left_at or self.now
         self.core.client_disconnected(self.now, self.request)
 
-    # --- the auditor ---
+    # --- audit ---
 
     def audit(self, attempt: Attempt) -> None:
-        """Called as an attempt's last byte goes out."""
+        """Records the rules that an attempt breaks whose last byte is written now."""
         if self.ports.answers:
-            self.broken.append("after the answer")
+            self.broken.append("sent after the final response")
         if self.client_left_at is not None:
-            self.broken.append("after the client's end")
+            self.broken.append("sent after the client disconnected")
         if len(self.written) >= self.settings.max_attempts:
             self.broken.append("too many attempts")
         if self.now >= attempt.deadline or attempt.deadline > self.request.deadline:
-            self.broken.append("after the deadline")
-        others = [each for each in self.ports.attempts if each is not attempt]
-        if any(not each.finished for each in others) and not self.settings.hedging_allowed:
-            self.broken.append("beside another")
-        closed = [each for each in others if each in self.ports.aborted or each.number in self.ended]
-        if any(each.finished and each not in closed for each in others):
-            self.broken.append("beside an open connection")
+            self.broken.append("sent after the deadline")
+        others = [other for other in self.ports.attempts if other is not attempt]
+        if any(not other.finished for other in others) and not self.settings.hedging_allowed:
+            self.broken.append("sent while another attempt is in flight")
+        closed = [other for other in others if other in self.ports.aborted or other.number in self.ended]
+        if any(other.finished and other not in closed for other in others):
+            self.broken.append("sent while the connection of another attempt is open")
         if not attempt.is_prefill:
             self.audit_execution(attempt)
 
     def audit_execution(self, attempt: Attempt) -> None:
-        runs = [each for each in self.written if not each.attempt.is_prefill]
-        runs = [each for each in runs if each.attempt.number not in self.rejected]
-        if not runs or self.spec.idempotency is Idempotency.IDEMPOTENT:
+        executions = [entry for entry in self.written if not entry.attempt.is_prefill]
+        executions = [entry for entry in executions if entry.attempt.number not in self.rejected]
+        if not executions or self.spec.idempotency is Idempotency.IDEMPOTENT:
             return
-        first = runs[0]
+        first = executions[0]
         if self.spec.idempotency is Idempotency.NON_IDEMPOTENT:
             self.broken.append("executed twice")
-        elif self.now >= first.at + self.spec.deduplication_window_ms:
-            self.broken.append("repeated after the window")
-        elif not self.shares_records(first.attempt.server, attempt.server):
-            self.broken.append("repeated outside the group")
+        elif self.now >= first.written_at + self.spec.deduplication_window_ms:
+            self.broken.append("repeated after the deduplication window")
+        elif not self.share_deduplication_records(first.attempt.server, attempt.server):
+            self.broken.append("repeated outside the deduplication scope")
 
-    def shares_records(self, first: str, second: str) -> bool:
+    def share_deduplication_records(self, first: str, second: str) -> bool:
         hosts = {host.server: host for host in HOSTS}
         match self.spec.deduplication_scope:
             case DeduplicationScope.ALL:
@@ -157,7 +157,7 @@
 
 
 class Case(NamedTuple):
-    """The settings of one play."""
+    """The settings of one sequence of steps."""
 
     idempotency: Idempotency
     scope: DeduplicationScope
@@ -168,14 +168,14 @@
 
     @property
     def spec(self) -> ClassSettings:
-        """The class of its request."""
+        """The class of the request."""
         return replace(KEYED, idempotency=self.idempotency, deduplication_scope=self.scope)
 
 
 class Step(NamedTuple):
-    """What happens next; `what` names it and the other fields are used by those that need them."""
+    """One step of a sequence; which of the other fields are used depends on its kind."""
 
-    what: str
+    kind: str
     number: int
     server: str
     ms: float
@@ -184,12 +184,12 @@
 
 STEPS = st.builds(
     Step,
-    # What makes plays long stands here more often.
+    # Steps that lead to long sequences are more frequent.
     st.sampled_from(["attempt"] * 4 + ["send", "connect", "write", "end", "end", "wait", "rare"]),
     st.integers(0, 5),
     st.sampled_from(HOST_NAMES),
     st.sampled_from([0.0, 0.0, 60.0, 150.0, 299.0, 300.0]),
-    st.sampled_from(ENDS_AFTER_WRITING + ENDS_BEFORE),
+    st.sampled_from(STATUSES_AFTER_WRITING + STATUSES_BEFORE_WRITING),
 )
 CASES = st.builds(
     Case,
@@ -200,32 +200,33 @@
     st.booleans(),
     st.integers(1, 6),
 )
-RARE = ("leave", "cancel", "reject", "fail", "drain", "gone")
+RARE_STEPS = ("leave", "cancel", "reject", "fail", "drain", "gone")
 
 
 def take(play: Play, step: Step) -> None:
-    attempt = play.pick(step.number)
-    what = RARE[step.number] if step.what == "rare" else step.what
-    match what:
+    """Performs one step of a sequence."""
+    attempt = play.select_running(step.number)
+    kind = RARE_STEPS[step.number] if step.kind == "rare" else step.kind
+    match kind:
         case "send" | "attempt":
-            play.ask_for(SendAttempt("q", step.server, play.now + step.ms if step.ms else 0.0))
-            if what == "attempt" and play.ports.attempts:
+            play.perform(SendAttempt("q", step.server, play.now + step.ms if step.ms else 0.0))
+            if kind == "attempt" and play.ports.attempts:
                 play.connect(play.ports.attempts[-1])
                 play.write(play.ports.attempts[-1])
         case "wait":
             play.run(after=step.ms)
         case "leave":
-            play.leave()
+            play.disconnect_client()
         case "cancel":
-            play.ask_for(CancelAttempt("q", step.number % 3))
+            play.perform(CancelAttempt("q", step.number % 3))
         case "reject":
-            play.ask_for(RejectRequest("q", 0.0))
+            play.perform(RejectRequest("q", 0.0))
         case "fail":
-            play.ask_for(FailRequest("q"))
+            play.perform(FailRequest("q"))
         case "drain" | "gone":
-            state = EndpointState.DRAINING if what == "drain" else EndpointState.REMOVED
-            told = replace(HOSTS[HOST_NAMES.index(step.server)], state=state)
-            play.core.update_endpoints(play.now, EndpointUpdate(UpdateScope.DELTA, (told,), 3))
+            state = EndpointState.DRAINING if kind == "drain" else EndpointState.REMOVED
+            endpoint = replace(HOSTS[HOST_NAMES.index(step.server)], state=state)
+            play.core.update_endpoints(play.now, EndpointUpdate(UpdateScope.DELTA, (endpoint,), 3))
         case "connect" if attempt is not None:
             play.connect(attempt)
         case "write" if attempt is not None:
@@ -234,7 +235,7 @@
         case "end" if attempt is not None:
             play.end(attempt, step.status)
     if step.number % 2:
-        play.run()  # else the loop comes back to the core only after the next step
+        play.run()  # otherwise the event loop runs the core only after the next step
 
 
 @settings(max_examples=120, derandomize=True, deadline=None)
@@ -252,14 +253,14 @@
     assert len(final) == (0 if streaming or (left_alone and not final) else 1)
 
 
-# --- each rule on its own ---
+# --- tests of single rules ---
 
 
-def test_a_non_idempotent_request_is_not_executed_twice_even_if_hedging_is_allowed() -> None:
+def test_non_idempotent_request_is_not_executed_twice_even_if_hedging_is_allowed() -> None:
     play = Play(NON_IDEMPOTENT_CLASS, hedging=True, cancel=True, max_attempts=4)
     first = play.send("w1")
     play.run(SendAttempt("q", "w2", 0.0))
-    assert play.ports.attempts == [first]  # though the first is not even written
+    assert play.ports.attempts == [first]  # although the first is not written yet
     play.run(SendAttempt("q", "r1", 0.0))
     assert len(play.ports.attempts) == 2  # a prefill has no effect
     play.write(first)
@@ -268,7 +269,7 @@
     assert len(play.ports.attempts) == 2  # a mixed host executes what it prefills
 
 
-def test_a_non_idempotent_request_goes_out_again_after_a_rejection() -> None:
+def test_non_idempotent_request_is_sent_again_after_a_rejection() -> None:
     play = Play(NON_IDEMPOTENT_CLASS, hedging=False, cancel=True, max_attempts=4)
     first = play.send("w1")
     play.connect(first)
@@ -277,14 +278,14 @@
     second = play.send("w2")
     play.connect(second)
     play.write(second)
-    assert [each.attempt for each in play.written] == [first, second]
+    assert [entry.attempt for entry in play.written] == [first, second]
 
 
 @pytest.mark.parametrize(("after", "sent"), [(290.0, True), (301.0, False)])
-def test_a_deduplication_window_counts_from_the_first_attempt_though_a_later_one_ended_before(
+def test_deduplication_window_starts_at_the_first_attempt_even_if_a_later_one_ends_earlier(
     after: float, sent: bool
 ) -> None:
-    """It counted from the attempt that ended first, and not at all while all were in flight."""
+    """Guards against a window that starts only when the first attempt ends, or at the one that ends first."""
     play = Play(KEYED, hedging=True, cancel=True, max_attempts=4)
     first = play.send("w1", timeout_ms=2000.0)
     play.connect(first)
@@ -299,7 +300,7 @@
     assert (len(play.ports.attempts) == 3) is sent
 
 
-def test_the_rest_of_a_repetition_is_withheld_once_the_window_is_over() -> None:
+def test_rest_of_a_repetition_is_withheld_once_the_deduplication_window_is_over() -> None:
     play = Play(KEYED, hedging=False, cancel=True, max_attempts=4)
     first = play.send("w1")
     play.connect(first)
@@ -313,8 +314,8 @@
     assert len(play.written) == 1
 
 
-def test_an_attempt_past_its_own_deadline_is_not_written_before_its_timer_has_run() -> None:
-    """The loop may write before it runs timers: the host was told that 1 ms was left."""
+def test_attempt_past_its_deadline_is_not_written_even_if_its_timer_has_not_run() -> None:
+    """The event loop may write before it runs timers; the host would be given a deadline of 1 ms."""
     play = Play(IDEMPOTENT_CLASS, hedging=False, cancel=True, max_attempts=4)
     attempt = play.send("w1", timeout_ms=100.0)
     play.now += 100.0
