--- a/tests/held_state_matrix.py
+++ b/tests/held_state_matrix.py
@@ -250,16 +250,17 @@
     for host in deployment.hosts:
         host.close_fillers()
     deployment.evidence.ended_at = time.monotonic()
-    return _cells(deployment, column, requests)
+    return _audit_results(deployment, column, requests)
 
 
-def _cells(deployment: Deployment, column: Column, requests: tuple[str, ...]) -> dict[str, Cell]:
+def _audit_results(deployment: Deployment, column: Column, requests: tuple[str, ...]) -> dict[str, Cell]:
     violations = audit_holds(deployment.evidence, column.retention_s)
     holds = {HostRecord.SLOT_RESERVED, HostRecord.STATE_LEFT}
     held = {event.request_id for event in deployment.evidence.events if event.record in holds}
     return {
         request_id: Cell(
-            request_id in held, tuple(late for late in violations if late.request_id == request_id)
+            request_id in held,
+            tuple(violation for violation in violations if violation.request_id == request_id),
         )
         for request_id in requests
     }
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -88,11 +88,11 @@
     prefill_host, decode_host = DeadlineRecordingHost("r", "prefill"), ModelHost("w", "decode")
 
     async def story(on: Stage) -> None:
-        late = DelayedConnects(on, "r")
+        delayed_connects = DelayedConnects(on, "r")
         call = await send_request(on, "q1", Req_Deadline="1000m")
-        await late.requested.wait()
+        await delayed_connects.requested.wait()
         await trio.sleep(0.2)
-        late.may_complete.set()
+        delayed_connects.may_complete.set()
         await wait_until(lambda: len(prefill_host.received_deadlines_ms) == 1)
         assert prefill_host.received_deadlines_ms[0] <= 800.0
         await call.stream.aclose()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -131,9 +131,9 @@
 
 def test_response_that_is_late_because_the_process_was_paused_is_not_counted() -> None:
     harness = CoreHarness()
-    late = harness.request.deadline + 501.0
-    harness.core.process_paused(late, 3500.0)
-    harness.core._lifecycle.finish(late, harness.request, RequestOutcome.FAILED)  # noqa: SLF001
+    late_at = harness.request.deadline + 501.0
+    harness.core.process_paused(late_at, 3500.0)
+    harness.core._lifecycle.finish(late_at, harness.request, RequestOutcome.FAILED)  # noqa: SLF001
     assert not violations(harness)
 
 
