--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -193,8 +193,8 @@
         assert {e.started_ms for e in running.daemon.core.endpoints.values()} == {None}  # the list is fresh
 
     async def scenario() -> None:
-        prefill_host = ModelHost("reader", "prefill")
-        decode_host = ModelHost("writer", "decode")
+        prefill_host = ModelHost("prefill_host", "prefill")
+        decode_host = ModelHost("decode_host", "decode")
         async with stage(prefill_host, decode_host, chat=state) as running:
             await store_state(running)
             silent = SilentDiscovery()
@@ -234,8 +234,8 @@
     state: dict[str, Any] = {"state": {"folder": str(tmp_path / "state"), "doubt": 0.5}}
 
     async def scenario() -> None:
-        prefill_host = ModelHost("reader", "prefill")
-        decode_host = ModelHost("writer", "decode")
+        prefill_host = ModelHost("prefill_host", "prefill")
+        decode_host = ModelHost("decode_host", "decode")
         async with stage(prefill_host, decode_host, chat=state) as running:
             assert running.daemon.watch is not None
             await running.daemon.watch.responded.wait()
@@ -246,8 +246,8 @@
                 await trio.sleep(0.01)
             answers = [await ask_platform(running.platform, f"q{n}", "consulta") for n in range(2)]
             assert "served" in [answer.outcome for answer in answers]
-            running.daemon.endpoints.remove_unreachable(ListedEndpoint("reader"))
-            assert set(running.daemon.core.endpoints) == {"writer"}
+            running.daemon.endpoints.remove_unreachable(ListedEndpoint("prefill_host"))
+            assert set(running.daemon.core.endpoints) == {"decode_host"}
 
     trio.run(scenario)
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -15,7 +15,9 @@
     starts: StartTimes, now: float, *entries: Endpoint, complete: bool = False
 ) -> list[float | None]:
     scope = UpdateScope.SNAPSHOT if complete else UpdateScope.DELTA
-    return [each.started_ms for each in starts.translate(now, EndpointUpdate(scope, entries, 1)).endpoints]
+    return [
+        endpoint.started_ms for endpoint in starts.translate(now, EndpointUpdate(scope, entries, 1)).endpoints
+    ]
 
 
 def test_start_times_are_unchanged_if_the_clocks_agree() -> None:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -147,9 +147,8 @@
         sizes_with_two_endpoints += [size] if len(endpoints) == 2 else []
         assert list(endpoints) == [f"h{n + 1}" for n in range(len(endpoints))]
     assert recovered_counts == {1, 2}
-    assert sizes_with_two_endpoints == list(
-        range(sizes_with_two_endpoints[0], len(complete))
-    )  # without gaps: each complete record is recovered
+    # No size in between is missing: each complete record is recovered.
+    assert sizes_with_two_endpoints == list(range(sizes_with_two_endpoints[0], len(complete)))
 
 
 def test_any_flipped_bit_is_detected_and_no_wrong_state_is_recovered() -> None:
