--- a/violetstack/net/downstream/closing.py
+++ b/violetstack/net/downstream/closing.py
@@ -104,17 +104,17 @@
         """The promises to the client that this close breaks."""
         if self.client_ended or self.reason in HARMLESS_REASONS:
             return []
-        broken = []
+        violations = []
         if self.state is ConnectionState.WAITING:
-            broken.append(Violation.ANSWER_OWED)
+            violations.append(Violation.ANSWER_OWED)
         if self.state is ConnectionState.STREAMING and self.reason is not CloseReason.STREAM_BROKEN:
-            broken.append(Violation.STREAM_CUT)
+            violations.append(Violation.STREAM_CUT)
         waited_for_client = self.state is ConnectionState.LINGERING and not self.unread_bytes
         if self.unwritten_bytes or (self.unacknowledged_bytes and not waited_for_client):
-            broken.append(Violation.OUTPUT_UNSENT)
+            violations.append(Violation.OUTPUT_UNSENT)
         if self.unread_bytes and not self.end_announced and self.state not in RESTING_STATES:
-            broken.append(Violation.UNREAD_INPUT)
-        return broken
+            violations.append(Violation.UNREAD_INPUT)
+        return violations
 
 
 HARMLESS_REASONS = frozenset(
--- a/violetstack/net/downstream/connection_reader.py
+++ b/violetstack/net/downstream/connection_reader.py
@@ -21,7 +21,7 @@
 REQUEST_TIMEOUT_S = 2.2
 """Limit for a new connection's first byte, and for the next bytes of a request that has begun."""
 MAX_ARRIVAL_S = 15.0
-"""Limit for a whole request; REQUEST_TIMEOUT_S if many connections are open."""
+"""Limit for a whole request; it is REQUEST_TIMEOUT_S if many connections are open or in a drain."""
 LATE_READ_S = 0.05
 """Limit for reading bytes that wait in the socket at the deadline; with TLS they may be a partial record."""
 REJECTION_DELAY_S = 0.05  # first delay of reads after consecutive rejections; each is twice the one before
--- a/violetstack/net/downstream/listener.py
+++ b/violetstack/net/downstream/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections and bounds their number."""
+"""Accepts client connections and limits their number."""
 
 from __future__ import annotations
 
--- a/violetstack/net/upstream/attempts.py
+++ b/violetstack/net/upstream/attempts.py
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         self.scope = trio.CancelScope()
         self.request_sent_or_ended = trio.Event()
-        """Set once the request is written, or the attempt has ended."""
+        """Set once the request is written or the attempt has ended."""
         self.receive_scope: trio.CancelScope | None = None
         self.connection: UpstreamConnection | None = None
 
@@ -196,8 +196,8 @@
             pass
         except Exception as error:
             log("attempt_failed", id=attempt.request.id, error=repr(error))
-        on_written = attempt.request_written
-        return AttemptResult(AttemptStatus.RESET if on_written else AttemptStatus.CONNECT_FAILED)
+        may_have_run = attempt.request_written
+        return AttemptResult(AttemptStatus.RESET if may_have_run else AttemptStatus.CONNECT_FAILED)
 
     async def _exchange(self, attempt: Attempt, running: _RunningAttempt) -> AttemptResult:
         connection = await self._pool.acquire(
--- a/violetstack/net/upstream/connection_pool.py
+++ b/violetstack/net/upstream/connection_pool.py
@@ -37,7 +37,7 @@
 RELEASE_RESERVED_CONNECTIONS = 4
 """Connections that only releases may open: attempts at unresponsive hosts can occupy all others."""
 RESERVED_CONNECTIONS_DIVISOR = 8
-"""At most 1/8 of all connections are reserved for releases."""
+"""At most the pool's limit divided by this is reserved for releases."""
 REUSE_DELAY_S = 0.1
 """Delay before reuse after a response, to detect a spurious second response.
 
--- a/violetstack/net/upstream/reservation.py
+++ b/violetstack/net/upstream/reservation.py
@@ -31,7 +31,7 @@
     ) -> None:
         self._core = core
         self._pool = pool
-        self._request_sent = request_sent_waiter
+        self._request_sent_waiter = request_sent_waiter
 
     async def run(self, call: ReservationCall) -> None:
         """Makes one call and reports its result to the core."""
@@ -41,7 +41,7 @@
             with trio.move_on_after(CALL_TIMEOUT_S):
                 if call.server in self._core.stateless_hosts:
                     raise NotConnectedError(f"host {call.server} does not support reservations")
-                prerequisite = self._request_sent(call.attempt) if call.attempt is not None else None
+                prerequisite = self._request_sent_waiter(call.attempt) if call.attempt is not None else None
                 connection = await self._pool.acquire(
                     call.server, lambda: self._core.may_reserve(call), prerequisite
                 )
--- a/violetstack/net/upstream/state_release.py
+++ b/violetstack/net/upstream/state_release.py
@@ -105,7 +105,7 @@
         idle connection, and have answered any request most recently. An idle connection whose delay before
         reuse is not over does not count, because a new one would be opened beside it.
         """
-        silent = request.unresponsive_hosts()
+        unresponsive = request.unresponsive_hosts()
         names = [
             name
             for name in self._core.endpoints
@@ -115,6 +115,6 @@
         def rank(name: str) -> tuple[bool, bool, bool, float]:
             host = self._pool.hosts[name]
             accepts_writes = name not in self._core.draining
-            return name not in silent, accepts_writes, host.has_usable_idle(), host.last_response_at
+            return name not in unresponsive, accepts_writes, host.has_usable_idle(), host.last_response_at
 
         return max(names, key=rank, default=None)
