--- a/tests/race_helpers.py
+++ b/tests/race_helpers.py
@@ -38,9 +38,9 @@
     def __init__(self, on: Stage, name: str) -> None:
         self.requested = trio.Event()
         self.may_complete = trio.Event()
-        self._open = on.daemon.hosts.pool.open
+        self._open = on.daemon.upstream_driver.pool.open
         self._name = name
-        on.daemon.hosts.pool.open = self.open  # type: ignore[method-assign]
+        on.daemon.upstream_driver.pool.open = self.open  # type: ignore[method-assign]
 
     async def open(self, server: str, timeout_s: float, *, for_release: bool = False) -> UpstreamConnection:
         connection = await self._open(server, timeout_s, for_release=for_release)
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -90,13 +90,13 @@
 
     async def story(on: Stage) -> None:
         connects = DelayedConnects(on, "w")
-        on.daemon.hosts.check_health("w")
+        on.daemon.upstream_driver.check_health("w")
         await connects.requested.wait()
         on.discovery.tell(decode_host.row(state="leaving"))
         await wait_until(lambda: "w" in on.daemon.core.draining)
         connects.may_complete.set()
         # the unused connection is kept
-        await wait_until(lambda: len(on.daemon.hosts.pool.hosts["w"].idle) == 1)
+        await wait_until(lambda: len(on.daemon.upstream_driver.pool.hosts["w"].idle) == 1)
         assert (decode_host.calls, decode_host.bodies) == ([], [])
 
     play(prefill_host, decode_host, story=story)
@@ -114,7 +114,7 @@
         on.discovery.tell(host_at_new_address.row())
         await wait_until(
             lambda: (
-                on.daemon.hosts.pool.hosts["w"].address[1]
+                on.daemon.upstream_driver.pool.hosts["w"].address[1]
                 == int(host_at_new_address.address.rpartition(":")[2])
             )
         )
@@ -162,7 +162,7 @@
     prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        pool = on.daemon.hosts.pool
+        pool = on.daemon.upstream_driver.pool
         core = on.daemon.core
         await ask_platform(on.platform, "q1", "orden")
         for host in pool.hosts.values():
@@ -291,7 +291,7 @@
 
     async def story(on: Stage) -> None:
         await ask_platform(on.platform, "q1", "orden")
-        for connection in on.daemon.hosts.pool.hosts["r"].idle:
+        for connection in on.daemon.upstream_driver.pool.hosts["r"].idle:
             connection.usable_from = 0.0
         assert (await ask_platform(on.platform, "q2", "orden")).outcome == "served"
         assert prefill_host.opened == 2
@@ -325,7 +325,7 @@
         call = await send_request(on, "q1")
         await wait_until(lambda: prefill_host.begun == ["q1"])
         connects = DelayedConnects(on, "r")
-        on.daemon.hosts.pool.hosts.pop("w")  # leaves one host for the release
+        on.daemon.upstream_driver.pool.hosts.pop("w")  # leaves one host for the release
         request = core.open_requests["q1"]
         request.hold.apply(0.0, HoldEvent.STATE_LEFT)
         core._hold_manager.release(0.0, request)
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -139,7 +139,7 @@
 
     async def story(on: Stage) -> None:
         max_connections = [listener.table.max_connections for listener in on.daemon.listeners]
-        assert sum(max_connections) + on.daemon.hosts.pool.max_connections < SOCKETS
+        assert sum(max_connections) + on.daemon.upstream_driver.pool.max_connections < SOCKETS
 
     play(*pair(), story=story, sockets=1024)
 
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -88,7 +88,7 @@
 
     async def story(on: Stage) -> None:
         known = on.daemon.core.endpoints["w"]
-        address = on.daemon.hosts.pool.hosts["w"].address
+        address = on.daemon.upstream_driver.pool.hosts["w"].address
         on.discovery.tell({**decode_host.row(state="leaving"), **invalid_fields})
         await wait_until(lambda: "w" in on.daemon.core.draining)
         on.discovery.changes = []
@@ -100,7 +100,7 @@
         await wait_until(lambda: "/api/targets" in on.discovery.asked and not watch_of(on).reconnecting)
         assert on.daemon.core.endpoints["r"].state is EndpointState.HEALTHY
         assert on.daemon.core.endpoints["w"] == known
-        assert on.daemon.hosts.pool.hosts["w"].address == address
+        assert on.daemon.upstream_driver.pool.hosts["w"].address == address
 
     play(prefill_host, decode_host, story=story)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -651,7 +651,7 @@
             stage.nursery.start_soon(successor, sock, replied)
             sender = stream_migration.StreamSender(stage.daemon.core)
             assert await sender.connect(path)
-            stage.daemon.hosts.migrate_streams(sender.migrate)
+            stage.daemon.upstream_driver.migrate_streams(sender.migrate)
             await replied.wait()
             await trio.sleep(0.1 if reply == "none" else 0)  # past REPLY_TIMEOUT_S
             resume_stream.set()
@@ -670,7 +670,7 @@
         core = stage.daemon.core
         path = tmp_path / "receiver.sock"
         receiver = stream_migration.StreamReceiver(
-            core, stage.daemon.hosts, lambda: stage.daemon.fronts.platform
+            core, stage.daemon.upstream_driver, lambda: stage.daemon.fronts.platform
         )
         await stage.nursery.start(receiver.run, path)
         client, client_peer = socket.socketpair()
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -55,7 +55,7 @@
         while "w" not in daemon.core.draining:
             await trio.sleep(0.001)
         await trio.testing.wait_all_tasks_blocked()
-        assert set(daemon.core.endpoints) == set(daemon.hosts.pool.hosts) == {"r", "w"}
+        assert set(daemon.core.endpoints) == set(daemon.upstream_driver.pool.hosts) == {"r", "w"}
 
     play(prefill_host, decode_host, story=story)
 
@@ -102,7 +102,7 @@
             await trio.sleep(0.01)
         await trio.testing.wait_all_tasks_blocked()
         state = daemon.router.state
-        pool = daemon.hosts.pool
+        pool = daemon.upstream_driver.pool
         endpoints = state.endpoints.by_name.values()
         assert not state.requests
         assert [(len(endpoint.in_flight), len(endpoint.reservations)) for endpoint in endpoints] == [
@@ -110,7 +110,7 @@
             (0, 0),
         ]
         assert pool.open_connections == sum(len(host.idle) for host in pool.hosts.values())
-        assert len(daemon.hosts.attempts) == 0
+        assert len(daemon.upstream_driver.attempts) == 0
         table = daemon.listeners[0].table
         assert (table.buffered_bytes, table.connections) == (0, set())
         assert (table.idle, table.awaiting_first_request) == ({}, {})
--- a/tests/test_shutdown_deadlines.py
+++ b/tests/test_shutdown_deadlines.py
@@ -104,7 +104,7 @@
         async def stop_recovery() -> None:
             idle_at_end.append(bool(listener.table.idle))
 
-        on.daemon.parts.recovery.stop = stop_recovery  # type: ignore[method-assign]
+        on.daemon.components.recovery.stop = stop_recovery  # type: ignore[method-assign]
         stop_as_if_asked(on, 0.56)
         await wait_until(lambda: not on.daemon.accepting)
         hold.set()
@@ -167,9 +167,9 @@
         await call.stream.send_all(whole[:40])
         await wait_until(lambda: any(c.http.busy for c in on.daemon.listeners[0].table.connections))
         if signal_handled == "before":
-            on.daemon.lifecycle.signal_received()
+            on.daemon.lifecycle.record_signal()
         time.sleep(0.65)  # noqa: ASYNC251 - the event loop stands still
-        on.daemon.lifecycle.signal_received()
+        on.daemon.lifecycle.record_signal()
         on.daemon.stop.set()
         await trio.sleep(0.06)  # three looks of the shutdown at its clock
         await call.stream.send_all(whole[40:])
@@ -214,7 +214,7 @@
         on.daemon.leases = _LeasesWithWait()  # type: ignore[assignment]
         call = await send_request(on, "q1")
         await wait_until(lambda: bool(on.daemon.core.open_requests))
-        on.daemon.lifecycle.signal_received()
+        on.daemon.lifecycle.record_signal()
         on.daemon.stop.set()
         await wait_until(lambda: on.daemon.listeners[0].draining)
         await trio.sleep(0.06)  # three looks of the shutdown at its clock
--- a/tests/test_startup_faults.py
+++ b/tests/test_startup_faults.py
@@ -79,7 +79,7 @@
     told = object()
     load = failing_at_first(lambda *_: told, ConfigUnreadableError("no descriptor"))
     monkeypatch.setattr(process, "load", load)
-    monkeypatch.setattr(process, "START_RETRY_S", 0.0)
+    monkeypatch.setattr(process, "STARTUP_RETRY_INTERVAL_S", 0.0)
     assert process._load_at_start("", None) is told  # noqa: SLF001 - the start itself needs a process
 
 
@@ -94,10 +94,10 @@
             reads += 1
             return on.config()
 
-        read_again = failing_at_first(count, ConfigUnreadableError("no descriptor"))
+        load_config = failing_at_first(count, ConfigUnreadableError("no descriptor"))
         for _ in range(2):
-            on.daemon.reload(read_again)
+            on.daemon.reload(load_config)
         await wait_until(lambda: reads > 0, 3.0)
-        assert fronts.START_RETRIES_S < 30.0
+        assert fronts.STARTUP_RETRY_TIMEOUT_S < 30.0
 
     play(*pair(), story=story)
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -101,7 +101,7 @@
         abort = core.driver.abort_attempt
 
         def watched(attempt: Attempt) -> None:
-            using = on.daemon.hosts.attempts.connection_of(attempt)
+            using = on.daemon.upstream_driver.attempts.connection_of(attempt)
             assert using is not None
             abort(attempt)
             closed.append(using.sock.fileno())
@@ -123,7 +123,8 @@
         await call.send("POST", "/v1/chat/completions", platform_headers("q1", "consulta"), BODY)
         await call.receive(events=3)
         await call.stream.aclose()
-        idle = on.daemon.hosts.pool.hosts["w"].idle  # the place was asked for on a connection of its own
+        # the place was asked for on a connection of its own
+        idle = on.daemon.upstream_driver.pool.hosts["w"].idle
         while len(writer.connections) > len(idle):
             await trio.testing.wait_all_tasks_blocked()
             hold.set()
@@ -380,7 +381,7 @@
 
     async def story(on: Stage) -> None:
         await ask_platform(on.platform, "q1", "consulta")  # opens the connections
-        exchange = on.daemon.hosts.pool.open
+        exchange = on.daemon.upstream_driver.pool.open
 
         async def slow(server: str, timeout_s: float, *, for_release: bool = False) -> UpstreamConnection:
             if server == "r":
@@ -388,7 +389,7 @@
                 order.append("read")
             return await exchange(server, timeout_s, for_release=for_release)
 
-        on.daemon.hosts.pool.open = slow  # type: ignore[method-assign]
+        on.daemon.upstream_driver.pool.open = slow  # type: ignore[method-assign]
         order.clear()
         await ask_platform(on.platform, "q2", "consulta")
         assert order == ["read", "POST"]
@@ -408,7 +409,7 @@
                 filler = stack.enter_context(socket.socket())
                 filler.setblocking(False)
                 filler.connect_ex(full.getsockname())
-            on.daemon.hosts.pool.hosts["w"].address = full.getsockname()
+            on.daemon.upstream_driver.pool.hosts["w"].address = full.getsockname()
             assert (await ask_platform(on.platform, "q1", "orden")).outcome == "refused"
             assert writer.begun == []
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -302,7 +302,7 @@
 
 
 def test_a_new_process_with_a_hanging_agent_starts_after_a_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoints, "AGENT_LIST_S", 0.05)
+    monkeypatch.setattr(endpoints, "AGENT_LIST_TIMEOUT_S", 0.05)
 
     async def story(on: Stage) -> None:
         agent = Agent(scripts=(silent,) * 500)
--- a/violetstack/daemon/daemon.py
+++ b/violetstack/daemon/daemon.py
@@ -24,7 +24,7 @@
     start_lease_service,
     start_load_shedding,
 )
-from violetstack.daemon.reload import RELOAD_RETRY_S, read_config, until_restart
+from violetstack.daemon.reload import RELOAD_RETRY_S, keys_requiring_restart, read_config
 from violetstack.daemon.shutdown import GracefulShutdown
 from violetstack.daemon.shutdown_schedule import REJECT_REQUESTS_S
 from violetstack.log import log
@@ -71,7 +71,7 @@
         self.load_shedding: LoadSheddingService | None = None
         self.leases: LeaseService | None = None
         self._reloadable = False
-        self._reload_waits = False
+        self._reload_retry_scheduled = False
         self._deferred_reload: Callable[[], Config] | None = None
 
     async def serve(self, task_status: trio.TaskStatus[BoundAddresses] = trio.TASK_STATUS_IGNORED) -> None:
@@ -95,54 +95,57 @@
             await self._stop()
             nursery.cancel_scope.cancel()
 
-    def signal_received(self) -> None:
+    def record_signal(self) -> None:
         """Notes a signal that ends the process; called in the signal's handler.
 
         A process that was stopped reads what has come meanwhile before its shutdown begins: where the signal
         may have come long ago, requests are rejected from this moment on.
         """
-        self.lifecycle.signal_received()
+        self.lifecycle.record_signal()
         signal = self.lifecycle.signal_time()
         waits_for_permit = self.leases is not None
-        if signal.handled_ms - signal.earliest_ms >= REJECT_REQUESTS_S * 1000.0 and not waits_for_permit:
+        if (
+            signal.handled_ms - signal.earliest_arrival_ms >= REJECT_REQUESTS_S * 1000.0
+            and not waits_for_permit
+        ):
             for listener in self.listeners:
                 listener.rejecting_requests = True
 
-    def reload(self, read_again: Callable[[], Config]) -> None:
+    def reload(self, load_config: Callable[[], Config]) -> None:
         """Applies what can change while serving. An invalid configuration changes nothing.
 
         During the start it waits until there are parts to apply it to. A failure is logged: the requests in
         flight must not end with it.
         """
         if not self._reloadable:
-            self._deferred_reload = read_again
+            self._deferred_reload = load_config
             return
         try:
-            self._reload(read_again)
+            self._reload(load_config)
         except ConfigUnreadableError:
-            if not self._reload_waits:
-                self._reload_waits = True
-                self.nursery.start_soon(self._reload_later, read_again)
+            if not self._reload_retry_scheduled:
+                self._reload_retry_scheduled = True
+                self.nursery.start_soon(self._retry_reload, load_config)
         except Exception as error:
             log("config_reload_failed", error=repr(error))
 
-    async def _reload_later(self, read_again: Callable[[], Config]) -> None:
+    async def _retry_reload(self, load_config: Callable[[], Config]) -> None:
         await trio.sleep(RELOAD_RETRY_S)
-        self._reload_waits = False
-        self.reload(read_again)
+        self._reload_retry_scheduled = False
+        self.reload(load_config)
 
-    def _reload(self, read_again: Callable[[], Config]) -> None:
-        new = read_config(read_again, self.config)
-        if new is None:
+    def _reload(self, load_config: Callable[[], Config]) -> None:
+        reloaded = read_config(load_config, self.config)
+        if reloaded is None:
             return
-        config = new.config
+        config = reloaded.config
         self.config.limits = config.limits
         self.config.routing_plan = config.routing_plan
         self._apply_routing_plan()
         self._apply_load_shedding_plan(config.load_shedding_plan)
         self.limits.apply()
-        if self.fronts.chat is not None and new.chat is not None:
-            self.fronts.chat.config = new.chat
+        if self.fronts.chat is not None and reloaded.chat is not None:
+            self.fronts.chat.config = reloaded.chat
         if self.fronts.certificate is not None:
             self.fronts.certificate.reload()
         if self.watch is not None and config.discovery is not None:
@@ -151,7 +154,7 @@
         log(
             "config_reloaded",
             discovery=config.discovery,
-            until_restart=until_restart(self.config, config),
+            until_restart=keys_requiring_restart(self.config, config),
             generation=generation,
         )
 
@@ -160,22 +163,22 @@
     @property
     def core(self) -> Dispatcher:
         """The request state machine."""
-        return self.parts.core
+        return self.components.core
 
     @property
     def router(self) -> Router:
         """The policy."""
-        return self.parts.router
+        return self.components.router
 
     @property
-    def hosts(self) -> UpstreamDriver:
+    def upstream_driver(self) -> UpstreamDriver:
         """The upstream side."""
-        return self.parts.hosts
+        return self.components.upstream_driver
 
     @property
     def state_writer(self) -> StateWriter | None:
         """The durable state, where it is configured."""
-        return self.parts.state_writer
+        return self.components.state_writer
 
     @property
     def started(self) -> bool:
@@ -210,18 +213,18 @@
 
     async def _start(self) -> BoundAddresses:
         config = self.config
-        self.parts = build_dispatch(config, self.nursery)
-        self.lifecycle.last_running_ms = self.parts.pause_detector.last_running_ms
-        self.limits = LimitAllocator(config, self.hosts, self.listeners, self._processes)
+        self.components = build_dispatch(config, self.nursery)
+        self.lifecycle.last_running_ms = self.components.pause_detector.last_running_ms
+        self.limits = LimitAllocator(config, self.upstream_driver, self.listeners, self._process_count)
         self.fronts = FrontServers(config, self.core, self.nursery, self.listeners, self.limits.apply)
-        self.parts.pause_detector.connections_queued = self.fronts.connections_queued
+        self.components.pause_detector.connections_queued = self.fronts.connections_queued
         self._apply_routing_plan()
         self._build_endpoints()
         predecessor = self.handover.load_predecessor() if self.handover is not None else None
-        await self.endpoints.start(self.nursery, self.parts.pause_detector, predecessor)
+        await self.endpoints.start(self.nursery, self.components.pause_detector, predecessor)
         admin = await start_admin_server(config, self.nursery, self)
         self._apply_load_shedding_plan(config.load_shedding_plan)
-        self.parts.start(self.nursery)
+        self.components.start(self.nursery)
         self._apply_deferred_reload()
         await self.endpoints.wait_for_first_list()
         self.lifecycle.started = True
@@ -242,13 +245,13 @@
             chat = await self.fronts.start_chat(self.config.chat)
         if self.hot_restart is not None:
             await self.hot_restart.receive_streams(
-                self.nursery, self.core, self.hosts, lambda: self.fronts.platform
+                self.nursery, self.core, self.upstream_driver, lambda: self.fronts.platform
             )
-        self.parts.restore_learned_state(self._learned_state())
+        self.components.restore_learned_state(self._learned_state())
         self.lifecycle.accepting = True
         if self.hot_restart is not None:
             self.hot_restart.write()
-        return BoundAddresses(platform, chat, self.fronts.challenge_at, admin)
+        return BoundAddresses(platform, chat, self.fronts.challenge_address, admin)
 
     def _build_endpoints(self) -> None:
         """Builds the endpoint service, with cordons and a hot restart only where there is an admin API."""
@@ -260,11 +263,11 @@
         self.endpoints = EndpointService(
             config,
             self.core,
-            self.hosts,
-            recovery=self.parts.recovery,
+            self.upstream_driver,
+            recovery=self.components.recovery,
             state_writer=self.state_writer,
             cordons=self.cordons,
-            changed=self._list_changed,
+            on_list_changed=self._request_record_write,
         )
         if self.cordons is None or config.shared_directory is None:
             return
@@ -276,18 +279,18 @@
             lifecycle=self.lifecycle,
             cordons=self.cordons,
             endpoints=self.endpoints,
-            learned=lambda: capture_learned_state(self.router),
+            capture_learned_state=lambda: capture_learned_state(self.router),
             on_siblings_changed=self.limits.apply,
         )
         start_background_task(self.nursery, self.hot_restart.handover.run)
 
     def _start_gossip(self) -> None:
         """Exchanges load with the other dispatchers, and holds leases where they are configured."""
-        pause_detector = self.parts.pause_detector
+        pause_detector = self.components.pause_detector
         transport = build_gossip_transport(self.config)
         if transport is None:
             return
-        self.hosts.gossip = transport.broadcast
+        self.upstream_driver.gossip = transport.broadcast
         pause_detector.add_source(transport)
         self.leases = start_lease_service(
             self.config,
@@ -309,15 +312,15 @@
         """May this dispatcher take on leases now?"""
         return (
             self.lifecycle.accepting
-            and self.parts.recovery.list_received
+            and self.components.recovery.list_received
             and not self.lifecycle.stop.is_set()
         )
 
     def _learned_state(self) -> LearnedState | None:
         """The predecessor's newest estimates, else those of the durable state."""
-        learned_state = self.parts.recovery.stored_learned_state()
+        learned_state = self.components.recovery.stored_learned_state()
         if self.hot_restart is not None and self.config.inherited_listener is not None:
-            record = self.hot_restart.predecessor()
+            record = self.hot_restart.predecessor_record()
             learned_state = record.learned_state if record is not None else learned_state
         return learned_state
 
@@ -347,33 +350,33 @@
                 listeners=self.listeners,
             )
 
-    def _list_changed(self) -> None:
+    def _request_record_write(self) -> None:
         if self.hot_restart is not None:
-            self.hot_restart.write_soon()
+            self.hot_restart.request_write()
 
-    def _processes(self) -> int:
-        return self.hot_restart.processes if self.hot_restart is not None else 1
+    def _process_count(self) -> int:
+        return self.hot_restart.process_count if self.hot_restart is not None else 1
 
     # --- shutdown ---
 
     async def _stop(self) -> None:
         signal = self.lifecycle.signal_time()
         if self.leases is not None:
-            began_ms = now_ms()
+            lease_shutdown_started_ms = now_ms()
             await self.leases.shut_down()
             # Whoever has processes wait for a permit gives them the time for it before SIGKILL.
-            signal = signal.later(now_ms() - began_ms)
+            signal = signal.delayed(now_ms() - lease_shutdown_started_ms)
         shutdown = GracefulShutdown(
             self.config.settings,
             self.lifecycle,
             signal,
             core=self.core,
-            hosts=self.hosts,
+            upstream_driver=self.upstream_driver,
             fronts=self.fronts,
             hot_restart=self.hot_restart,
         )
         await shutdown.run()
-        await self.parts.recovery.stop()
+        await self.components.recovery.stop()
         migrated_streams = 0
         if self.hot_restart is not None:
             self.hot_restart.handover.remove_record()
--- a/violetstack/daemon/dispatch.py
+++ b/violetstack/daemon/dispatch.py
@@ -26,12 +26,12 @@
 
 
 @dataclass(frozen=True)
-class DispatchParts:
+class DispatchComponents:
     """What is built before the endpoint list is known."""
 
     core: Dispatcher
     router: Router
-    hosts: UpstreamDriver
+    upstream_driver: UpstreamDriver
     loop: EventLoop
     pause_detector: PauseDetector
     recovery: StartupRecovery
@@ -40,7 +40,7 @@
     def start(self, nursery: trio.Nursery) -> None:
         """Starts the event loop, and closes upstream connections that are idle for too long."""
         nursery.start_soon(self.loop.run)
-        start_background_task(nursery, self.hosts.pool.close_expired)
+        start_background_task(nursery, self.upstream_driver.pool.close_expired)
 
     def restore_learned_state(self, learned_state: LearnedState | None) -> None:
         """Gives the policy the estimates of a predecessor or of the durable state."""
@@ -54,11 +54,11 @@
         self.recovery.learned_state_restored()
 
 
-def build_dispatch(config: Config, nursery: trio.Nursery) -> DispatchParts:
+def build_dispatch(config: Config, nursery: trio.Nursery) -> DispatchComponents:
     """Builds the parts and starts the pause detector and, where it is configured, the state writer."""
     settings = config.settings
     pool = ConnectionPool(settings.connect_timeout_ms, config.idle_close_ms)
-    hosts = UpstreamDriver(nursery, pool, settings.load_report_fields)
+    upstream_driver = UpstreamDriver(nursery, pool, settings.load_report_fields)
     router = Router(settings)
     state_writer = start_state_writer(config, nursery, lambda: capture_learned_state(router))
     recovery = StartupRecovery(nursery, state_writer, settings)
@@ -69,21 +69,21 @@
     # Nothing is decided or sent on what was known before the process was paused.
     pause_detector = PauseDetector(config.drain_grace_ms, process_paused)
     pool.wait_caught_up = pause_detector.wait_caught_up
-    pause_detector.add_source(hosts)
+    pause_detector.add_source(upstream_driver)
     start_background_task(nursery, pause_detector.run)
     wake_signal = WakeSignal()
     core = Dispatcher(
         settings,
         router,
-        hosts,
+        upstream_driver,
         config.drain_grace_ms,
         wake=wake_signal.set,
         retry_after=recovery.retry_after_ms,
         max_unread=pause_detector.max_unread_ms,
     )
-    hosts.connect_core(core)
+    upstream_driver.connect_core(core)
     loop = EventLoop(core, pause_detector, wake_signal)
-    return DispatchParts(core, router, hosts, loop, pause_detector, recovery, state_writer)
+    return DispatchComponents(core, router, upstream_driver, loop, pause_detector, recovery, state_writer)
 
 
 def capture_learned_state(router: Router) -> LearnedState:
--- a/violetstack/daemon/endpoints.py
+++ b/violetstack/daemon/endpoints.py
@@ -36,8 +36,8 @@
 
 # A process that takes over from another waits this long for discovery's list; any other process waits only
 # for an agent on this machine, which answers at once if discovery is up.
-FIRST_LIST_S = 1.5
-AGENT_LIST_S = 0.3
+SUCCESSOR_LIST_TIMEOUT_S = 1.5
+AGENT_LIST_TIMEOUT_S = 0.3
 MAX_ENDPOINTS_LOGGED = 50
 
 
@@ -51,25 +51,25 @@
         self,
         config: Config,
         core: Dispatcher,
-        hosts: UpstreamDriver,
+        upstream_driver: UpstreamDriver,
         *,
         recovery: StartupRecovery,
         state_writer: StateWriter | None,
         cordons: Cordons | None,
-        changed: Callable[[], None],
+        on_list_changed: Callable[[], None],
     ) -> None:
         """Publishes nothing before `start`."""
-        self.messages: dict[str, ListedEndpoint] = {}
+        self.listed_endpoints: dict[str, ListedEndpoint] = {}
         self.watch: Watch | None = None
         self._config = config
         self._core = core
-        self._hosts = hosts
+        self._upstream_driver = upstream_driver
         self._recovery = recovery
         self._state_writer = state_writer
         self._cordons = cordons
-        self._changed = changed
+        self._on_list_changed = on_list_changed
         self._start_times = StartTimes()
-        self._decoder = EndpointListDecoder(config.settings_message, self._known_entry)
+        self._decoder = EndpointListDecoder(config.settings_message, self._find_listed)
         self._nursery: trio.Nursery | None = None
 
     @property
@@ -79,7 +79,7 @@
 
     def publish(self, update: EndpointUpdate, addresses: dict[str, str]) -> None:
         """Hands an update to the connection pool and the core."""
-        self._hosts.pool.update(update, addresses)
+        self._upstream_driver.pool.update(update, addresses)
         self._core.update_endpoints(now_ms(), update)
 
     # --- startup ---
@@ -92,7 +92,7 @@
         self._add_openai_hosts()
         known = self._known_list(predecessor)
         known = await self._recovery.load_endpoints(known)
-        self._receive(self._decoder.to_event(known, UpdateScope.CACHED))
+        self._handle_watch_event(self._decoder.to_event(known, UpdateScope.CACHED))
         if self._state_writer is not None:
             start_background_task(
                 nursery,
@@ -108,8 +108,8 @@
             self._decoder,
             self._known_version(),
             Backoff(settings.dispatcher_count, settings.seed, agent=not settings.watch_required),
-            on_event=self._receive,
-            on_unchanged=self._confirm,
+            on_event=self._handle_watch_event,
+            on_unchanged=self._handle_unchanged_list,
         )
         pause_detector.add_source(self.watch)
         # A watch that failed has lost its connections: another asks for the complete list.
@@ -118,7 +118,7 @@
     def _add_openai_hosts(self) -> None:
         operator = self._config.operator
         for host in operator.hosts if operator is not None else ():
-            self._hosts.pool.hosts[host.id] = UpstreamHost(
+            self._upstream_driver.pool.hosts[host.id] = UpstreamHost(
                 parse_address(host.address), [], openai_api=True, api_key=host.key
             )
             self._core.stateless_hosts.add(host.id)
@@ -148,24 +148,24 @@
         inherited = self._config.inherited_listener is not None
         if self.watch is None or (self._config.settings.watch_required and not inherited):
             return
-        with trio.move_on_after(FIRST_LIST_S if inherited else AGENT_LIST_S):
+        with trio.move_on_after(SUCCESSOR_LIST_TIMEOUT_S if inherited else AGENT_LIST_TIMEOUT_S):
             await self.watch.responded.wait()
         if not self.watch.responded.is_set():
-            log("endpoint_list_missing", hosts=len(self.messages))
+            log("endpoint_list_missing", hosts=len(self.listed_endpoints))
 
     # --- updates ---
 
     def remove_unreachable(self, server: ListedEndpoint) -> None:
         """Removes a recovered endpoint that did not answer, until discovery lists it again."""
         endpoint = self._core.endpoints.get(server.id)
-        if endpoint is not None and self.messages.pop(server.id, None) is not None:
+        if endpoint is not None and self.listed_endpoints.pop(server.id, None) is not None:
             gone = replace(endpoint, state=EndpointState.REMOVED)
             self.publish(EndpointUpdate(UpdateScope.DELTA, (gone,), 0), {})
 
-    def _receive(self, event: WatchEvent) -> None:
+    def _handle_watch_event(self, event: WatchEvent) -> None:
         if self._state_writer is not None and event.update.scope is UpdateScope.SNAPSHOT:
-            event = self._defer_loss(event, self._state_writer)
-        self._store_messages(event)
+            event = self._retain_lost_hosts(event, self._state_writer)
+        self._store_endpoints(event)
         update = self._start_times.translate(now_ms(), event.update)
         if update.scope is not UpdateScope.DELTA:
             # Discovery does not list the operator's own hosts: a complete list would remove them.
@@ -173,11 +173,11 @@
         if self._cordons is not None:
             update = self._cordons.apply(update)
         self.publish(update, event.addresses)
-        self._changed()
+        self._on_list_changed()
         if update.scope is not UpdateScope.CACHED:
             complete = update.scope is UpdateScope.SNAPSHOT
             self._recovery.list_changed(
-                event.messages, update.version, complete=complete, listed=len(self.messages)
+                event.messages, update.version, complete=complete, listed=len(self.listed_endpoints)
             )
         log(
             "endpoint_list_updated",
@@ -187,30 +187,30 @@
             skipped=event.skipped,
         )
 
-    def _known_entry(self, server: str) -> ListedEndpoint | None:
-        return self.messages.get(server)
+    def _find_listed(self, server: str) -> ListedEndpoint | None:
+        return self.listed_endpoints.get(server)
 
-    def _store_messages(self, event: WatchEvent) -> None:
+    def _store_endpoints(self, event: WatchEvent) -> None:
         if event.update.scope is not UpdateScope.DELTA:
-            self.messages = {}
-        for message in event.messages:
-            self.messages[message.id] = message
-            if STATES.get(message.state) is EndpointState.REMOVED:
-                del self.messages[message.id]
+            self.listed_endpoints = {}
+        for endpoint in event.messages:
+            self.listed_endpoints[endpoint.id] = endpoint
+            if STATES.get(endpoint.state) is EndpointState.REMOVED:
+                del self.listed_endpoints[endpoint.id]
 
-    def _defer_loss(self, event: WatchEvent, state_writer: StateWriter) -> WatchEvent:
+    def _retain_lost_hosts(self, event: WatchEvent, state_writer: StateWriter) -> WatchEvent:
         """Adds the lost hosts to a list that lost most of them, and has it fetched again after a while."""
-        found = state_writer.panic_threshold.check(now_ms(), self.messages, event.messages)
-        if found is None:
+        loss = state_writer.panic_threshold.check(now_ms(), self.listed_endpoints, event.messages)
+        if loss is None:
             return event
         log(
             "endpoint_list_loss_suspected",
             version=event.update.version,
-            retained=[message.id for message in found.endpoints][:MAX_ENDPOINTS_LOGGED],
+            retained=[endpoint.id for endpoint in loss.endpoints][:MAX_ENDPOINTS_LOGGED],
         )
         if self._nursery is not None:
-            self._nursery.start_soon(self._request_list_at, found.until)
-        merged = EndpointListMessage(event.update.version, True, [*event.messages, *found.endpoints])
+            self._nursery.start_soon(self._request_list_at, loss.until)
+        merged = EndpointListMessage(event.update.version, True, [*event.messages, *loss.endpoints])
         return self._decoder.to_event(merged, UpdateScope.SNAPSHOT)
 
     async def _request_list_at(self, at_ms: float) -> None:
@@ -218,6 +218,6 @@
         if self.watch is not None:
             self.watch.request_list()
 
-    def _confirm(self) -> None:
+    def _handle_unchanged_list(self) -> None:
         """Nothing has changed since the list that was known at the start."""
-        self._recovery.list_changed((), self.version, complete=False, listed=len(self.messages))
+        self._recovery.list_changed((), self.version, complete=False, listed=len(self.listed_endpoints))
--- a/violetstack/daemon/fronts.py
+++ b/violetstack/daemon/fronts.py
@@ -26,9 +26,9 @@
     from violetstack.fronts.chat import ChatFront
     from violetstack.idempotency.service import IdempotencyService
 
-NO_RESOURCES_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-START_RETRIES_S = 20.0  # a process that is not ready after 30 s counts as failed
-START_RETRY_S = 0.05
+RESOURCE_EXHAUSTION_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+STARTUP_RETRY_TIMEOUT_S = 20.0  # a process that is not ready after 30 s counts as failed
+STARTUP_RETRY_INTERVAL_S = 0.05
 BACKLOG = 512
 
 
@@ -53,19 +53,19 @@
         self._nursery = nursery
         self._apply_limits = apply_limits
         self.listeners = listeners
-        self.sockets: list[trio.SocketListener] = []
+        self.listening_sockets: list[trio.SocketListener] = []
         self.platform: Listener | None = None
         self.chat: ChatFront | None = None
         self.idempotency: IdempotencyService | None = None
         self.certificate: Certificate | None = None  # one that no ACME keeps
-        self.challenge_at: Address | None = None
+        self.challenge_address: Address | None = None
 
-    async def start_platform(self, at: Address) -> Address:
+    async def start_platform(self, address: Address) -> Address:
         """Starts the platform front. Raises ConfigError if the address can't be bound."""
         front = PlatformFront(
             self._core, RequestReader(self._config.settings_message), now_ms, log_rate_limited
         )
-        bound = await self._listen(at, front)
+        bound = await self._listen(address, front)
         self.platform = self.listeners[-1]
         return bound
 
@@ -81,7 +81,7 @@
         self.chat = ChatFront(
             chat, self._core, self.idempotency, clock=now_ms, spawn=self._spawn, log=log_rate_limited
         )
-        wrap = None
+        tls_handshake = None
         if operator.tls is not None:
             certificate = Certificate(operator.tls)
             if operator.acme is not None:
@@ -89,20 +89,20 @@
             else:
                 certificate.load()
                 self.certificate = certificate
-            wrap = certificate.wrap
-        return await self._listen(parse_address(operator.listen), self.chat, wrap)
+            tls_handshake = certificate.wrap
+        return await self._listen(parse_address(operator.listen), self.chat, tls_handshake)
 
     def stop_accepting(self) -> None:
         """Closes the listening sockets; open connections go on."""
-        for listening in self.sockets:
-            listening.socket.close()
-        self.sockets.clear()
+        for listener in self.listening_sockets:
+            listener.socket.close()
+        self.listening_sockets.clear()
 
     def connections_queued(self) -> bool:
         """Does a connection wait in a listening socket's queue?"""
-        return any(is_readable(listening.socket, if_unknown=True) for listening in self.sockets)
+        return any(is_readable(listener.socket, if_unknown=True) for listener in self.listening_sockets)
 
-    def note_closed_queue(self) -> None:
+    def record_closed_queues(self) -> None:
         """The listening sockets are about to be closed over connections that nobody has accepted."""
         for listener in self.listeners:
             listener.closes.record_queue_closed(str(self._config.listen))
@@ -110,36 +110,40 @@
     @property
     def busy(self) -> bool:
         """Is a connection open on which something may still come, or be lost, or a record to be written?"""
-        waiting = self.chat is not None and self.chat.pending
-        recording = self.idempotency is not None and self.idempotency.pending_calls
-        tables = [each.table for each in self.listeners]
-        connected = any(table.busy or table.awaiting_requests or table.idle for table in tables)
-        return bool(waiting or recording or connected)
-
-    async def _listen(self, at: Address, front: Front, wrap: TlsHandshake | None = None) -> Address:
+        responses_pending = self.chat is not None and self.chat.pending
+        records_pending = self.idempotency is not None and self.idempotency.pending_calls
+        tables = [listener.table for listener in self.listeners]
+        connections_open = any(table.busy or table.awaiting_requests or table.idle for table in tables)
+        return bool(responses_pending or records_pending or connections_open)
+
+    async def _listen(
+        self, address: Address, front: Front, tls_handshake: TlsHandshake | None = None
+    ) -> Address:
         listener = Listener(self._core, front)
-        inherited = self._config.inherited_listener if at == self._config.listen else None
+        inherited = self._config.inherited_listener if address == self._config.listen else None
         if inherited is None:
-            sockets = await listen_on(at, "listen")
+            sockets = await listen_on(address, "listen")
         else:
             sockets = [trio.SocketListener(trio.socket.from_stdlib_socket(inherited))]
         self.listeners.append(listener)
         self._apply_limits()
-        self.sockets.extend(sockets)
-        self._nursery.start_soon(listener.run, sockets, wrap)
+        self.listening_sockets.extend(sockets)
+        self._nursery.start_soon(listener.run, sockets, tls_handshake)
         bound = sockets[0].socket.getsockname()
         return bound[0], bound[1]
 
     def _open_idempotency_store(self, chat: ChatFrontConfig) -> IdempotencyService | None:
-        file = chat.operator.ledger
-        if file is None:
+        store_config = chat.operator.ledger
+        if store_config is None:
             return None
         from violetstack.idempotency.service import IdempotencyService
         from violetstack.idempotency.store import IdempotencyStore
 
         owner = f"{self._config.node.name}/{uuid.uuid4().hex}"  # a restart is another owner
-        store = IdempotencyStore(file.file, owner, file.keep_hours * 3600.0, file.lease_s)
-        service = IdempotencyService(store, file.lease_s)
+        store = IdempotencyStore(
+            store_config.file, owner, store_config.keep_hours * 3600.0, store_config.lease_s
+        )
+        service = IdempotencyService(store, store_config.lease_s)
         start_background_task(self._nursery, service.run)
         return service
 
@@ -147,22 +151,22 @@
         from violetstack.net import acme
 
         front = acme.ChallengeFront()
-        self.challenge_at = await self._listen(parse_address(acme_config.challenge_listen), front)
+        self.challenge_address = await self._listen(parse_address(acme_config.challenge_listen), front)
         issue = acme.AcmeClient(acme_config, front).issue
         start_background_task(self._nursery, acme.renew_certificate, acme_config, certificate, issue)
 
-    def _spawn(self, act: Callable[[], Awaitable[None]]) -> None:
-        self._nursery.start_soon(_run_guarded, act)
+    def _spawn(self, function: Callable[[], Awaitable[None]]) -> None:
+        self._nursery.start_soon(_run_guarded, function)
 
 
-async def _run_guarded(act: Callable[[], Awaitable[None]]) -> None:
+async def _run_guarded(function: Callable[[], Awaitable[None]]) -> None:
     try:
-        await act()
+        await function()
     except Exception as error:  # no request's failure ends the nursery
         log("request_failed", error=repr(error))
 
 
-async def listen_on(at: Address, name: str) -> list[trio.SocketListener]:
+async def listen_on(address: Address, key: str) -> list[trio.SocketListener]:
     """Listens at the address of the key `name`.
 
     Where the system lacks a descriptor or memory for the moment, this goes on trying for `START_RETRIES_S`.
@@ -170,12 +174,17 @@
     Raises:
         ConfigError: The address can't be bound.
     """
-    give_up_at = trio.current_time() + START_RETRIES_S
+    give_up_at = trio.current_time() + STARTUP_RETRY_TIMEOUT_S
     while True:
         try:
-            return list(await trio.open_tcp_listeners(at[1], host=at[0], backlog=BACKLOG))
+            return list(await trio.open_tcp_listeners(address[1], host=address[0], backlog=BACKLOG))
         except OSError as error:
-            if error.errno not in NO_RESOURCES_ERRORS or trio.current_time() >= give_up_at:
-                raise ConfigError(f"{name}: {at[0]}:{at[1]}: {error}") from None
-            log("listen_failed", at=f"{at[0]}:{at[1]}", error=str(error), retry_in_s=START_RETRY_S)
-        await trio.sleep(START_RETRY_S)
+            if error.errno not in RESOURCE_EXHAUSTION_ERRORS or trio.current_time() >= give_up_at:
+                raise ConfigError(f"{key}: {address[0]}:{address[1]}: {error}") from None
+            log(
+                "listen_failed",
+                at=f"{address[0]}:{address[1]}",
+                error=str(error),
+                retry_in_s=STARTUP_RETRY_INTERVAL_S,
+            )
+        await trio.sleep(STARTUP_RETRY_INTERVAL_S)
--- a/violetstack/daemon/hot_restart.py
+++ b/violetstack/daemon/hot_restart.py
@@ -35,7 +35,7 @@
         lifecycle: Lifecycle,
         cordons: Cordons,
         endpoints: EndpointService,
-        learned: Callable[[], LearnedState],
+        capture_learned_state: Callable[[], LearnedState],
         on_siblings_changed: Callable[[], None],
     ) -> None:
         """`learned` captures the policy's estimates; `on_siblings_changed`: a process began or ended."""
@@ -45,7 +45,7 @@
         self._lifecycle = lifecycle
         self._cordons = cordons
         self._endpoints = endpoints
-        self._learned = learned
+        self._capture_learned_state = capture_learned_state
         self._siblings = SiblingProcesses(uuid.uuid4().hex, now_ms())
         self.handover = HandoverService(
             HandoverDirectory(directory, config.node.name, self._siblings.process_id),
@@ -59,11 +59,11 @@
         self.migrated_streams: Callable[[], int] = lambda: 0
 
     @property
-    def processes(self) -> int:
+    def process_count(self) -> int:
         """How many processes of this dispatcher share the machine's limits: one or two."""
         return 2 if self._siblings.any_alive(now_ms()) else 1
 
-    def write_soon(self) -> None:
+    def request_write(self) -> None:
         """Has the record written in the next round."""
         self.handover.request_write()
 
@@ -79,7 +79,7 @@
         successor = self.handover.successor
         return successor.process_id if successor is not None else None
 
-    def predecessor(self) -> HandoverRecord | None:
+    def predecessor_record(self) -> HandoverRecord | None:
         """The newest record that another process of this dispatcher has left."""
         self.handover.refresh()
         return self._siblings.latest_record()
@@ -88,7 +88,7 @@
         self,
         nursery: trio.Nursery,
         core: Dispatcher,
-        hosts: UpstreamDriver,
+        upstream_driver: UpstreamDriver,
         platform: Callable[[], Listener | None],
     ) -> None:
         """Called before this process reports ready, since SIGTERM to the predecessor follows at once."""
@@ -96,10 +96,12 @@
             return
         from violetstack.net.stream_migration import StreamReceiver, socket_path
 
-        receiver = StreamReceiver(core, hosts, lambda: platform() if self._lifecycle.accepting else None)
+        receiver = StreamReceiver(
+            core, upstream_driver, lambda: platform() if self._lifecycle.accepting else None
+        )
         await nursery.start(receiver.run, socket_path(self._directory, self._siblings.process_id))
 
-    async def migrate_streams(self, core: Dispatcher, hosts: UpstreamDriver) -> None:
+    async def migrate_streams(self, core: Dispatcher, upstream_driver: UpstreamDriver) -> None:
         """Offers the streams that have started to the successor, if there is one."""
         successor = self.find_successor()
         if not self._inherited or successor is None:
@@ -109,7 +111,7 @@
         sender = StreamSender(core)
         self.migrated_streams = lambda: sender.migrated
         if await sender.connect(socket_path(self._directory, successor)):
-            hosts.migrate_streams(sender.migrate)
+            upstream_driver.migrate_streams(sender.migrate)
 
     def _build_record(self) -> HandoverRecord:
         return HandoverRecord(
@@ -119,7 +121,7 @@
             written_at_ms=now_ms(),
             accepting=self._lifecycle.accepting,
             list_version=self._endpoints.version,
-            endpoints=tuple(self._endpoints.messages.values()),
+            endpoints=tuple(self._endpoints.listed_endpoints.values()),
             cordons=dict(self._cordons.records),
-            learned_state=self._learned() if self._inherited else None,
+            learned_state=self._capture_learned_state() if self._inherited else None,
         )
--- a/violetstack/daemon/lifecycle.py
+++ b/violetstack/daemon/lifecycle.py
@@ -20,12 +20,12 @@
         handled_ms: When its handler ran.
     """
 
-    earliest_ms: float
+    earliest_arrival_ms: float
     handled_ms: float
 
-    def later(self, by_ms: float) -> SignalTime:
+    def delayed(self, by_ms: float) -> SignalTime:
         """The time for a shutdown that begins `by_ms` later."""
-        return SignalTime(self.earliest_ms + by_ms, self.handled_ms + by_ms)
+        return SignalTime(self.earliest_arrival_ms + by_ms, self.handled_ms + by_ms)
 
 
 class Lifecycle:
@@ -43,7 +43,7 @@
         self.last_running_ms: Callable[[], float] = now_ms
         self._signal: SignalTime | None = None
 
-    def signal_received(self) -> None:
+    def record_signal(self) -> None:
         """Notes the time of the first signal that ends the process; called in the signal's handler."""
         if self._signal is None:
             self._signal = SignalTime(self.last_running_ms(), now_ms())
--- a/violetstack/daemon/optional_services.py
+++ b/violetstack/daemon/optional_services.py
@@ -30,7 +30,7 @@
 
 
 def start_state_writer(
-    config: Config, nursery: trio.Nursery, learned: Callable[[], LearnedState]
+    config: Config, nursery: trio.Nursery, capture_learned_state: Callable[[], LearnedState]
 ) -> StateWriter | None:
     """The durable state, where the operator's file names a folder."""
     state = config.operator.state if config.operator is not None else None
@@ -38,7 +38,9 @@
         return None
     from violetstack.net.state_writer import StateWriter
 
-    state_writer = StateWriter(state, config.settings.seed, config.settings.slow_start_ms, learned)
+    state_writer = StateWriter(
+        state, config.settings.seed, config.settings.slow_start_ms, capture_learned_state
+    )
     start_background_task(nursery, state_writer.run)
     return state_writer
 
--- a/violetstack/daemon/process.py
+++ b/violetstack/daemon/process.py
@@ -11,7 +11,7 @@
 
 from violetstack.config import Config, ConfigError, ConfigUnreadableError, load
 from violetstack.daemon.daemon import Daemon
-from violetstack.daemon.fronts import START_RETRIES_S, START_RETRY_S
+from violetstack.daemon.fronts import STARTUP_RETRY_INTERVAL_S, STARTUP_RETRY_TIMEOUT_S
 from violetstack.log import flush, log, write_in_background
 from violetstack.net.event_loop_wakeup import tolerate_wakeup_errors
 from violetstack.net.inherited_listener import open_inherited_listener
@@ -31,7 +31,7 @@
 
 def _serve(path: str, file: str | None) -> int:
     # The file may have been read already when a SIGHUP comes, so one during startup counts as well.
-    early_reload = SignalRecorder(signal.SIGHUP)
+    early_sighup = SignalRecorder(signal.SIGHUP)
     try:
         config = _load_at_start(path, file)
         if config.inherited_fd is not None and config.listen is not None:
@@ -39,20 +39,20 @@
     except ConfigError as error:
         log("config_invalid", error=str(error))
         return 2
-    unusable: list[Exception] = []
+    config_errors: list[Exception] = []
     try:
         tolerate_wakeup_errors()
-        trio.run(run, config, lambda: load(path, file, again=True), early_reload)
+        trio.run(run, config, lambda: load(path, file, again=True), early_sighup)
     except* ConfigError as errors:  # an address that is taken, or none of this machine's
-        unusable += flatten(errors)
-    for reason in unusable:
-        log("config_invalid", error=str(reason))
-    return 2 if unusable else 0
+        config_errors += flatten_group(errors)
+    for config_error in config_errors:
+        log("config_invalid", error=str(config_error))
+    return 2 if config_errors else 0
 
 
 def _load_at_start(path: str, file: str | None) -> Config:
     """Reads the configuration, again and again while the system refuses to read it for the moment."""
-    give_up_at = time.monotonic() + START_RETRIES_S
+    give_up_at = time.monotonic() + STARTUP_RETRY_TIMEOUT_S
     while True:
         try:
             return load(path, file)
@@ -60,7 +60,7 @@
             log("config_unreadable", error=str(error))
             if time.monotonic() >= give_up_at:
                 raise
-        time.sleep(START_RETRY_S)
+        time.sleep(STARTUP_RETRY_INTERVAL_S)
 
 
 class SignalRecorder:
@@ -76,7 +76,7 @@
 
 
 async def run(
-    config: Config, read_again: Callable[[], Config], early_reload: SignalRecorder | None = None
+    config: Config, load_config: Callable[[], Config], early_sighup: SignalRecorder | None = None
 ) -> None:
     """Serves until SIGTERM; SIGHUP reads the configuration again, during a drain as well.
 
@@ -85,14 +85,14 @@
     daemon = Daemon(config)
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         for number in (signal.SIGTERM, signal.SIGINT):
-            _call_before_handler(number, daemon.signal_received)
+            _call_before_handler(number, daemon.record_signal)
 
         async def handle_signals() -> None:
-            if early_reload is not None and early_reload.received:
-                daemon.reload(read_again)
+            if early_sighup is not None and early_sighup.received:
+                daemon.reload(load_config)
             async for number in signals:
                 if number == signal.SIGHUP:
-                    daemon.reload(read_again)
+                    daemon.reload(load_config)
                 else:
                     daemon.stop.set()
 
@@ -114,10 +114,10 @@
     signal.signal(number, notify_and_handle)
 
 
-def flatten(errors: BaseExceptionGroup[Exception]) -> list[Exception]:
+def flatten_group(errors: BaseExceptionGroup[Exception]) -> list[Exception]:
     """The exceptions of a group and of the groups within it."""
     return [
-        each
+        leaf
         for error in errors.exceptions
-        for each in (flatten(error) if isinstance(error, BaseExceptionGroup) else [error])
+        for leaf in (flatten_group(error) if isinstance(error, BaseExceptionGroup) else [error])
     ]
--- a/violetstack/daemon/shutdown.py
+++ b/violetstack/daemon/shutdown.py
@@ -48,7 +48,7 @@
         signal: SignalTime,
         *,
         core: Dispatcher,
-        hosts: UpstreamDriver,
+        upstream_driver: UpstreamDriver,
         fronts: FrontServers,
         hot_restart: HotRestart | None,
     ) -> None:
@@ -56,11 +56,11 @@
         self._lifecycle = lifecycle
         self._signal = signal
         self._core = core
-        self._hosts = hosts
+        self._upstream_driver = upstream_driver
         self._fronts = fronts
         self._hot_restart = hot_restart
-        longest_ms = max((spec.client_timeout_ms for spec in settings.classes), default=0.0)
-        self._schedule = ShutdownSchedule.for_longest_timeout(longest_ms)
+        longest_timeout_ms = max((spec.client_timeout_ms for spec in settings.classes), default=0.0)
+        self._schedule = ShutdownSchedule.for_longest_timeout(longest_timeout_ms)
         self._closed_before: Counter[str] = Counter()
         self._rejecting = False
         self._waiting_ended = False
@@ -72,17 +72,17 @@
             "shutdown_started",
             open=len(self._core.open_requests),
             successor=self._find_successor(),
-            signal_ms_ago=round(now_ms() - self._signal.earliest_ms),
+            signal_ms_ago=round(now_ms() - self._signal.earliest_arrival_ms),
             connections=self._count_states(),
         )
         for listener in self._fronts.listeners:
             listener.draining = True
-        await self._hand_over()
+        await self._hand_over_to_successor()
         # Whether anything is left is asked in the very step in which idle connections were closed.
-        nothing_left = self._advance()
+        nothing_left = self._run_due_steps()
         while not nothing_left:
             await trio.sleep(POLL_S)
-            nothing_left = self._advance()
+            nothing_left = self._run_due_steps()
         if self._fronts.idempotency is not None:
             self._fronts.idempotency.stop_retrying()
 
@@ -90,27 +90,27 @@
         """Returns what became of the client connections, once nothing is left to do."""
         violations: Counter[str] = Counter()
         for listener in self._fronts.listeners:
-            violations.update({kind.value: n for kind, n in listener.closes.violations.items()})
+            violations.update({kind.value: count for kind, count in listener.closes.violations.items()})
         return ClosedConnections(dict(self._count_closes() - self._closed_before), dict(violations))
 
     def _count_closes(self) -> Counter[str]:
         closes: Counter[str] = Counter()
         for listener in self._fronts.listeners:
-            closes.update({reason.value: n for reason, n in listener.closes.closes.items()})
+            closes.update({reason.value: count for reason, count in listener.closes.closes.items()})
         return closes
 
     def _count_states(self) -> dict[str, int]:
-        connections = (each for listener in self._fronts.listeners for each in listener.table.connections)
+        connections = (item for listener in self._fronts.listeners for item in listener.table.connections)
         return dict(Counter(connection.lifecycle.state.value for connection in connections))
 
-    def _advance(self) -> bool:
+    def _run_due_steps(self) -> bool:
         """Takes the steps that are due after SIGTERM; returns whether nothing is left to do.
 
         SIGKILL may follow from the earliest time at which the signal can have come, and new connections may
         come until some time after the latest.
         """
         schedule = self._schedule
-        elapsed_s = (now_ms() - self._signal.earliest_ms) / 1000.0
+        elapsed_s = (now_ms() - self._signal.earliest_arrival_ms) / 1000.0
         if elapsed_s >= schedule.reject_s and not self._rejecting:
             self._rejecting = True
             log("shutdown_rejecting")
@@ -126,7 +126,7 @@
         for listener in self._fronts.listeners:
             listener.table.close_idle()
             if elapsed_s >= schedule.close_silent_s:
-                _close_silent(listener.table)
+                _close_silent_connections(listener.table)
         return not self._core.open_requests and not self._fronts.busy
 
     def _stop_accepting_if_due(self, elapsed_s: float) -> None:
@@ -140,10 +140,10 @@
         queued = self._fronts.connections_queued()
         if not queued or elapsed_s >= self._schedule.close_listener_s:
             if queued:
-                self._fronts.note_closed_queue()
+                self._fronts.record_closed_queues()
             self._stop_accepting()
 
-    async def _hand_over(self) -> None:
+    async def _hand_over_to_successor(self) -> None:
         """Leaves new connections, gossip and the streams that have started to the successor, if there is one.
 
         A client that connects now waits in the listening socket's queue, which the successor accepts from.
@@ -151,8 +151,8 @@
         if self._hot_restart is None or self._hot_restart.find_successor() is None:
             return
         self._stop_accepting()
-        self._hosts.gossip = _discard
-        await self._hot_restart.migrate_streams(self._core, self._hosts)
+        self._upstream_driver.gossip = _discard_gossip
+        await self._hot_restart.migrate_streams(self._core, self._upstream_driver)
 
     def _stop_accepting(self) -> None:
         self._lifecycle.accepting = False
@@ -162,16 +162,16 @@
         return self._hot_restart.find_successor() if self._hot_restart is not None else None
 
 
-def _close_silent(table: ConnectionTable) -> None:
+def _close_silent_connections(table: ConnectionTable) -> None:
     """Closes connections that wait for a request, or for the rest of one, which is answered 503.
 
     What came now could not be answered before SIGKILL.
     """
-    half_requests = [connection for connection in table.idle if connection.http.busy]
-    for connection in [*table.awaiting_first_request, *half_requests]:
+    partial_requests = [connection for connection in table.idle if connection.http.busy]
+    for connection in [*table.awaiting_first_request, *partial_requests]:
         if not connection.lifecycle.answering and not connection.has_unread():
             table.evict(connection, CloseReason.SHUTDOWN_IDLE)
 
 
-def _discard(_payload: bytes) -> None:
+def _discard_gossip(_payload: bytes) -> None:
     """Sends no gossip: the successor has the same address, and receivers replace what they had from it."""
--- a/violetstack/daemon/shutdown_schedule.py
+++ b/violetstack/daemon/shutdown_schedule.py
@@ -23,10 +23,11 @@
 STOP_ACCEPTING_S = 0.55  # load balancers in front send new connections for up to 0.4 s
 # A margin before KILL_DELAY_S, for a signal or a request that a busy process reads late.
 REJECT_REQUESTS_S = 0.6
-MIN_ANSWER_S = 0.05  # of a request that was accepted at the last moment
-FINAL_ANSWERS_S = 0.5  # before SIGKILL, for the last answers and releases
-LAST_ACCEPTS_S = 0.05  # after the earliest SIGKILL: until it comes, what waits in the queue is rejected
-CLOSE_SILENT_S = 0.15  # before SIGKILL, so that no request comes that can't be answered any more
+MIN_PROCESSING_S = 0.05  # of a request that was accepted at the last moment
+FINAL_RESPONSES_S = 0.5  # before SIGKILL, for the last answers and releases
+# After the earliest SIGKILL: until it comes, what waits in the queue is rejected.
+LISTENER_CLOSE_DELAY_S = 0.05
+SILENT_CLOSE_MARGIN_S = 0.15  # before SIGKILL, so that no request comes that can't be answered any more
 
 
 @dataclass(frozen=True)
@@ -55,9 +56,9 @@
         kill_s = min(longest_timeout_ms / 1000.0, MAX_DRAIN_S) + KILL_DELAY_S
         return cls(
             stop_accepting_s=STOP_ACCEPTING_S,
-            close_listener_s=kill_s + LAST_ACCEPTS_S,
+            close_listener_s=kill_s + LISTENER_CLOSE_DELAY_S,
             reject_s=REJECT_REQUESTS_S,
-            end_waiting_s=max(kill_s - FINAL_ANSWERS_S, REJECT_REQUESTS_S + MIN_ANSWER_S),
-            close_silent_s=kill_s - CLOSE_SILENT_S,
+            end_waiting_s=max(kill_s - FINAL_RESPONSES_S, REJECT_REQUESTS_S + MIN_PROCESSING_S),
+            close_silent_s=kill_s - SILENT_CLOSE_MARGIN_S,
             kill_s=kill_s,
         )
