--- a/violetstack/policy/outliers.py
+++ b/violetstack/policy/outliers.py
@@ -24,9 +24,9 @@
 def penalize(endpoint: TrackedEndpoint, cost: float, now: float) -> None:
     """Subtracts a failure's cost from the endpoint's freeness, doubled for each consecutive failure.
 
-    Otherwise endpoints that fail fast would look free; it also covers hung, dead and unreachable ones. If the
-    requests were at fault, all endpoints are penalized alike, and the least penalized is still used. Failures
-    in one batch of events, such as those of a broken connection, count once. The cost is at least
+    Otherwise endpoints that fail fast would look free; hung, dead and unreachable ones are penalized as well.
+    If the requests were at fault, all endpoints are penalized alike, and the least penalized is still used.
+    Failures in one batch of events, such as those of a broken connection, count once. The cost is at least
     `NEAR_BEST`.
     """
     statistics = endpoint.statistics
--- a/violetstack/policy/placement.py
+++ b/violetstack/policy/placement.py
@@ -22,7 +22,10 @@
         self._admission = admission
 
     def candidates(self, request: RequestState, *, is_prefill: bool) -> list[TrackedEndpoint]:
-        """Returns the allowed hosts; those that failed the request or are avoided only if none else is."""
+        """Returns the hosts that may be sent the request.
+
+        Hosts that failed it, or that another dispatcher checks, are left out unless there are no others.
+        """
         now = self._state.now
         pool = self._state.endpoints.pool(is_prefill=is_prefill)
         warm = [host for host in pool if self._admission.admits(host, now, is_prefill=is_prefill)]
@@ -35,7 +38,10 @@
         return untried or allowed
 
     def choose_prefill_host(self, request: RequestState) -> TrackedEndpoint | None:
-        """Chooses by freeness, even if negative; near the best the session's last host, else by affinity."""
+        """Chooses the host of the highest freeness, even if it is negative.
+
+        Among near-best hosts, it is the last host of the session, else the first by affinity.
+        """
         hosts = self.candidates(request, is_prefill=True)
         if not hosts:
             return None
@@ -52,7 +58,10 @@
     def choose_decode_host(
         self, request: RequestState, prefill_host: TrackedEndpoint | None
     ) -> TrackedEndpoint | None:
-        """Chooses by memory headroom; near the best by the prefill host's cell, then zone, then at random."""
+        """Chooses the host of the highest memory headroom.
+
+        Among near-best hosts, those in the prefill host's cell come first, then its zone, then a random one.
+        """
         candidates = self.candidates(request, is_prefill=False)
         hosts = [host for host in candidates if host not in request.slot.hosts_tried]
         if not hosts:
--- a/violetstack/policy/retry.py
+++ b/violetstack/policy/retry.py
@@ -21,7 +21,7 @@
     """Rule 2: returns whether an attempt that may have an effect is allowed at this endpoint.
 
     It always is before the first such attempt, and for idempotent requests. A request with an idempotency key
-    may be repeated within the deduplication window, in the scope of the first attempt's deduplication.
+    may be repeated within the deduplication window, at hosts that discard repetitions of the first attempt.
     """
     first = request.first_attempt_with_effect
     class_settings = request.class_settings
--- a/violetstack/tracking/gossip_receiver.py
+++ b/violetstack/tracking/gossip_receiver.py
@@ -25,7 +25,7 @@
         if event.peer == state.settings.dispatcher_index:
             return []
         if event.payload == RESET_DATAGRAM:
-            # The sender does not know our load, and other dispatchers may have started with it.
+            # The sender does not know our load; other dispatchers may have started at the same time.
             self._sender.resend_all(GOSSIP_DELAY_MS * (1.0 + RESEND_SPREAD * state.rng.random()))
         endpoints = state.endpoints.by_name
         try:
--- a/violetstack/tracking/load.py
+++ b/violetstack/tracking/load.py
@@ -67,10 +67,10 @@
     ) -> float:
         """Returns the cost of the prompt tokens that are not expected to be cached at the endpoint.
 
-        Expected cached tokens are weighted by `cache_trust`, the share of them that was recently found.
-        Without them, sessions would move for small differences of load, each move would prefill the whole
-        prompt again, hosts would saturate and more sessions move. It could do harm if hosts evicted cached
-        text faster than `cache_trust` follows.
+        Expected cached tokens are weighted by `cache_trust`, the share of them that was recently found. If
+        they were ignored, sessions would move for small differences of load, and each move would prefill the
+        whole prompt again; hosts would saturate, and more sessions would move. The estimate could do harm if
+        hosts evicted cached text faster than `cache_trust` follows.
         """
         expected = self._endpoints.affinity.expected_cached_tokens(endpoint, request)
         return prefill_cost(request.params.prompt_tokens - cache_trust * expected)
