--- a/violetstack/daemon/__init__.py
+++ b/violetstack/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The life of the process: startup, reload, event loop and shutdown."""
+"""Runs the dispatcher's process: startup, configuration reload, event loop and graceful shutdown."""
--- a/violetstack/daemon/background_task.py
+++ b/violetstack/daemon/background_task.py
@@ -1,4 +1,4 @@
-"""Background tasks whose failure must not end the process, and with it every request in flight."""
+"""Runs background tasks and restarts them on failure, so that a failure does not end the process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _do_nothing() -> None:
-    """For a task that begins anew without preparation."""
+    """Default of `before_restart`."""
 
 
 def start_background_task(
@@ -21,7 +21,11 @@
     *arguments: object,
     before_restart: Callable[[], None] = _do_nothing,
 ) -> None:
-    """Starts `run(*arguments)`; if it raises, logs `task_failed` and starts it again after a moment."""
+    """Starts `run(*arguments)` in the nursery and restarts it whenever it raises an exception.
+
+    Each failure is logged as `task_failed`; the restart follows after `RESTART_DELAY_S` and a call of
+    `before_restart`.
+    """
 
     async def supervise() -> None:
         while not await _run_once(run, *arguments):
@@ -32,7 +36,7 @@
 
 
 async def _run_once(run: Callable[..., Awaitable[None]], *arguments: object) -> bool:
-    """Returns whether the task came to its end."""
+    """Returns True if the task returned, and False if it raised an exception."""
     try:
         await run(*arguments)
     except Exception as error:
--- a/violetstack/daemon/daemon.py
+++ b/violetstack/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""One dispatcher: builds its parts in order, serves, takes new configurations and shuts down."""
+"""Builds the components of one dispatcher in order, serves, reloads the configuration and shuts down."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class BoundAddresses(msgspec.Struct, frozen=True):
-    """The addresses that a started daemon listens at."""
+    """The addresses that a started daemon listens on; None for a listener that is not configured."""
 
     platform: Address | None
     chat: Address | None
@@ -58,10 +58,10 @@
 
 
 class Daemon:
-    """One dispatcher. `serve` returns after `stop` is set and the requests that were taken are finished."""
+    """One dispatcher process. `serve` returns once `stop` is set and all accepted requests are finished."""
 
     def __init__(self, config: Config) -> None:
-        """Takes the configuration; nothing is opened before `serve`."""
+        """Stores the configuration; files and sockets are opened by `serve`."""
         self.config = config
         self.lifecycle = Lifecycle()
         self.listeners: list[Listener] = []
@@ -75,7 +75,11 @@
         self._deferred_reload: Callable[[], Config] | None = None
 
     async def serve(self, task_status: trio.TaskStatus[BoundAddresses] = trio.TASK_STATUS_IGNORED) -> None:
-        """Runs the dispatcher. Raises ConfigError, in a group, for an address that can't be bound."""
+        """Starts the dispatcher and serves requests until `stop` is set and the shutdown has finished.
+
+        Raises:
+            ExceptionGroup: With a ConfigError if a configured address cannot be bound.
+        """
         for text in self.config.warnings:
             log("config_warning", text=text)
         async with trio.open_nursery() as nursery:
@@ -96,10 +100,12 @@
             nursery.cancel_scope.cancel()
 
     def record_signal(self) -> None:
-        """Notes a signal that ends the process; called in the signal's handler.
+        """Records the arrival of a signal that ends the process; called in the signal handler.
 
-        A process that was stopped reads what has come meanwhile before its shutdown begins: where the signal
-        may have come long ago, requests are rejected from this moment on.
+        A process that was paused first reads the input that arrived during the pause, and only then starts
+        its shutdown. If the signal may have arrived `REJECT_REQUESTS_S` ago or earlier, requests are rejected
+        from now on. With leases, the wait for a restart permit does not count towards the shutdown schedule,
+        so nothing is rejected here.
         """
         self.lifecycle.record_signal()
         signal = self.lifecycle.signal_time()
@@ -112,10 +118,10 @@
                 listener.rejecting_requests = True
 
     def reload(self, load_config: Callable[[], Config]) -> None:
-        """Applies what can change while serving. An invalid configuration changes nothing.
+        """Loads the configuration again and applies the settings that can change without a restart.
 
-        During the start it waits until there are parts to apply it to. A failure is logged: the requests in
-        flight must not end with it.
+        During startup the reload is deferred until the components exist. An invalid configuration changes
+        nothing. A failure is logged and not raised, so that it does not end the requests in flight.
         """
         if not self._reloadable:
             self._deferred_reload = load_config
@@ -158,55 +164,55 @@
             generation=generation,
         )
 
-    # --- the parts, for the admin service and tests ---
+    # --- components, for the admin service and tests ---
 
     @property
     def core(self) -> Dispatcher:
-        """The request state machine."""
+        """The state machine of all requests."""
         return self.components.core
 
     @property
     def router(self) -> Router:
-        """The policy."""
+        """The policy that selects hosts."""
         return self.components.router
 
     @property
     def upstream_driver(self) -> UpstreamDriver:
-        """The upstream side."""
+        """Performs calls to hosts."""
         return self.components.upstream_driver
 
     @property
     def state_writer(self) -> StateWriter | None:
-        """The durable state, where it is configured."""
+        """Writes the stored state; None if no state folder is configured."""
         return self.components.state_writer
 
     @property
     def started(self) -> bool:
-        """Is the endpoint list known?"""
+        """Whether the endpoint list is known."""
         return self.lifecycle.started
 
     @property
     def accepting(self) -> bool:
-        """Are new requests taken?"""
+        """Whether client requests are accepted."""
         return self.lifecycle.accepting
 
     @property
     def stop(self) -> trio.Event:
-        """Set to shut down."""
+        """Set to shut the daemon down."""
         return self.lifecycle.stop
 
     @property
     def handover(self) -> HandoverService | None:
-        """The record that this process keeps for another of its dispatcher."""
+        """Writes the handover record for other processes of this dispatcher; None without hot restart."""
         return self.hot_restart.handover if self.hot_restart is not None else None
 
     @property
     def watch(self) -> Watch | None:
-        """Discovery's watch, where there is a discovery."""
+        """The watch of the endpoint list; None if no discovery is configured."""
         return self.endpoints.watch
 
     def publish(self, update: EndpointUpdate, addresses: dict[str, str]) -> None:
-        """Hands an update of the endpoint list to the connection pool and the core."""
+        """Passes an update of the endpoint list to the connection pool and the core."""
         self.endpoints.publish(update, addresses)
 
     # --- startup ---
@@ -254,7 +260,7 @@
         return BoundAddresses(platform, chat, self.fronts.challenge_address, admin)
 
     def _build_endpoints(self) -> None:
-        """Builds the endpoint service, with cordons and a hot restart only where there is an admin API."""
+        """Builds the endpoint service, and cordons and hot restart if the admin API is configured."""
         config = self.config
         if config.admin_listen is not None:
             from violetstack.admin.cordons import Cordons
@@ -285,7 +291,7 @@
         start_background_task(self.nursery, self.hot_restart.handover.run)
 
     def _start_gossip(self) -> None:
-        """Exchanges load with the other dispatchers, and holds leases where they are configured."""
+        """Starts gossip with the other dispatchers and, if configured, the lease service."""
         pause_detector = self.components.pause_detector
         transport = build_gossip_transport(self.config)
         if transport is None:
@@ -309,7 +315,7 @@
         start_background_task(self.nursery, transport.run, receiver.receive)
 
     def _is_eligible(self) -> bool:
-        """May this dispatcher take on leases now?"""
+        """Returns whether this dispatcher may acquire leases now."""
         return (
             self.lifecycle.accepting
             and self.components.recovery.list_received
@@ -317,24 +323,24 @@
         )
 
     def _learned_state(self) -> LearnedState | None:
-        """The predecessor's newest estimates, else those of the durable state."""
+        """Returns the predecessor's latest estimates, or else those of the stored state."""
         learned_state = self.components.recovery.stored_learned_state()
         if self.hot_restart is not None and self.config.inherited_listener is not None:
             record = self.hot_restart.predecessor_record()
             learned_state = record.learned_state if record is not None else learned_state
         return learned_state
 
-    # --- what can change ---
+    # --- settings that a reload can change ---
 
     def _apply_routing_plan(self) -> None:
-        """Requests from now on are routed by the plan in force; those in flight keep theirs."""
+        """Routes new requests by the configured plan; requests in flight keep their plan."""
         if self.routing is None:
             self.routing = build_routing(self.config, self.core)
         elif self.config.routing_plan is not None:
             self.routing.replace_plan(now_ms(), self.config.routing_plan)
 
     def _apply_load_shedding_plan(self, plan: LevelPlan | None) -> None:
-        """Starts load shedding with the plan, or replaces the plan in force."""
+        """Starts load shedding with the plan, or replaces the plan of load shedding that is running."""
         plan = plan or self.config.load_shedding_plan
         if plan is None:
             return
@@ -364,7 +370,8 @@
         if self.leases is not None:
             lease_shutdown_started_ms = now_ms()
             await self.leases.shut_down()
-            # Whoever has processes wait for a permit gives them the time for it before SIGKILL.
+            # A deployment that requires restart permits allows for the wait before it sends SIGKILL, so the
+            # wait does not shorten the shutdown schedule.
             signal = signal.delayed(now_ms() - lease_shutdown_started_ms)
         shutdown = GracefulShutdown(
             self.config.settings,
--- a/violetstack/daemon/dispatch.py
+++ b/violetstack/daemon/dispatch.py
@@ -1,4 +1,4 @@
-"""The parts that every dispatcher has: policy, core, upstream driver, pause detector and startup recovery."""
+"""Builds the components of every dispatcher: policy, core, upstream driver, pause detector and recovery."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class DispatchComponents:
-    """What is built before the endpoint list is known."""
+    """The components that are built before the endpoint list is known."""
 
     core: Dispatcher
     router: Router
@@ -38,24 +38,24 @@
     state_writer: StateWriter | None
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Starts the event loop, and closes upstream connections that are idle for too long."""
+        """Starts the event loop and the task that closes upstream connections when they have expired."""
         nursery.start_soon(self.loop.run)
         start_background_task(nursery, self.upstream_driver.pool.close_expired)
 
     def restore_learned_state(self, learned_state: LearnedState | None) -> None:
-        """Gives the policy the estimates of a predecessor or of the durable state."""
+        """Restores the estimates of a predecessor or of the stored state in the policy."""
         if learned_state is None:
             return
         from violetstack.handover.learned_state import restore_learned_state
 
-        self.core.run(now_ms())  # the policy has to have the endpoint list first
+        self.core.run(now_ms())  # the policy needs the endpoint list before the estimates
         servers = restore_learned_state(self.router.state, learned_state)
         log("estimates_restored", servers=servers, age_ms=round(now_ms() - learned_state.captured_at_ms))
         self.recovery.learned_state_restored()
 
 
 def build_dispatch(config: Config, nursery: trio.Nursery) -> DispatchComponents:
-    """Builds the parts and starts the pause detector and, where it is configured, the state writer."""
+    """Builds the components; starts the pause detector and, if configured, the state writer."""
     settings = config.settings
     pool = ConnectionPool(settings.connect_timeout_ms, config.idle_close_ms)
     upstream_driver = UpstreamDriver(nursery, pool, settings.load_report_fields)
@@ -66,7 +66,8 @@
     def process_paused(pause_ms: float) -> None:
         core.process_paused(now_ms(), pause_ms)
 
-    # Nothing is decided or sent on what was known before the process was paused.
+    # After a pause the process reads all queued input before it makes decisions or sends anything, since
+    # what it knew before the pause may be outdated.
     pause_detector = PauseDetector(config.drain_grace_ms, process_paused)
     pool.wait_caught_up = pause_detector.wait_caught_up
     pause_detector.add_source(upstream_driver)
@@ -87,7 +88,7 @@
 
 
 def capture_learned_state(router: Router) -> LearnedState:
-    """The policy's estimates as they are now."""
+    """Returns the policy's current estimates."""
     from violetstack.handover import learned_state
 
     return learned_state.capture_learned_state(router.state, now_ms())
--- a/violetstack/daemon/endpoints.py
+++ b/violetstack/daemon/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: recovered endpoints, discovery's watch, and the updates to the core and the pool."""
+"""Keeps the endpoint list: recovers it at startup, watches discovery, and updates the core and the pool."""
 
 from __future__ import annotations
 
@@ -34,17 +34,20 @@
     from violetstack.handover.record import HandoverRecord
     from violetstack.net.state_writer import StateWriter
 
-# A process that takes over from another waits this long for discovery's list; any other process waits only
-# for an agent on this machine, which answers at once if discovery is up.
+# How long a process that takes over from a predecessor waits for discovery's list.
 SUCCESSOR_LIST_TIMEOUT_S = 1.5
+# How long any other process waits for the discovery agent on this machine, which responds at once if
+# discovery is up.
 AGENT_LIST_TIMEOUT_S = 0.3
 MAX_ENDPOINTS_LOGGED = 50
 
 
 class EndpointService:
-    """Owns the list as discovery has it; every update goes through `publish`.
+    """Keeps the endpoint list as received from discovery; every update goes through `publish`.
 
-    `messages` has the entries by host id. `changed` is called after each update that discovery caused.
+    Attributes:
+        listed_endpoints: The entries of the list by host id.
+        watch: The watch of the endpoint list; None without discovery and before `start`.
     """
 
     def __init__(
@@ -58,7 +61,10 @@
         cordons: Cordons | None,
         on_list_changed: Callable[[], None],
     ) -> None:
-        """Publishes nothing before `start`."""
+        """Creates the service; nothing is published before `start`.
+
+        `on_list_changed` is called for each list or change from discovery and for the list known at startup.
+        """
         self.listed_endpoints: dict[str, ListedEndpoint] = {}
         self.watch: Watch | None = None
         self._config = config
@@ -74,11 +80,11 @@
 
     @property
     def version(self) -> int:
-        """The version of the list that is known; 0 where there is none."""
+        """The version of the known list; 0 if no version is known."""
         return self.watch.version or 0 if self.watch is not None else 0
 
     def publish(self, update: EndpointUpdate, addresses: dict[str, str]) -> None:
-        """Hands an update to the connection pool and the core."""
+        """Passes an update to the connection pool and the core."""
         self._upstream_driver.pool.update(update, addresses)
         self._core.update_endpoints(now_ms(), update)
 
@@ -87,7 +93,7 @@
     async def start(
         self, nursery: trio.Nursery, pause_detector: PauseDetector, predecessor: HandoverRecord | None
     ) -> None:
-        """Publishes the endpoints that are known already and starts the watch."""
+        """Publishes the endpoints that are known at startup, and starts the watch."""
         self._nursery = nursery
         self._add_openai_hosts()
         known = self._known_list(predecessor)
@@ -112,7 +118,7 @@
             on_unchanged=self._handle_unchanged_list,
         )
         pause_detector.add_source(self.watch)
-        # A watch that failed has lost its connections: another asks for the complete list.
+        # A failed watch has lost its connections, so the restarted one requests the complete list.
         start_background_task(nursery, self.watch.run, before_restart=self.watch.request_list)
 
     def _add_openai_hosts(self) -> None:
@@ -124,26 +130,27 @@
             self._core.stateless_hosts.add(host.id)
 
     def _known_list(self, predecessor: HandoverRecord | None) -> EndpointListMessage:
-        """A predecessor's list, which it received a moment ago, rather than the configuration's."""
+        """Returns the predecessor's list, which is the more recent, or else the list in the configuration."""
         if self._config.inherited_listener is None or predecessor is None:
             return self._config.node.known
         return EndpointListMessage(predecessor.list_version, True, list(predecessor.endpoints))
 
     def _known_version(self) -> int | None:
-        """The version that changes are asked for from; None where the complete list has to come first.
+        """Returns the version from which the watch requests changes; None to request the complete list first.
 
-        A predecessor's version may be that of another discovery, and the durable state merges several lists:
-        the changes of one would not fit it.
+        A predecessor's version may come from another discovery service, and the stored state merges several
+        lists: changes to one list cannot be applied to either.
         """
         if self._config.inherited_listener is not None or self._state_writer is not None:
             return None
         return self._config.node.known.version
 
     async def wait_for_first_list(self) -> None:
-        """Waits for discovery's first word where the list at hand may be stale.
+        """Waits for the first response of discovery if the list known at startup may be stale.
 
-        What an agent on this machine has counts as known from the first moment, and what a predecessor had
-        received counts for its successor: requests must not be forwarded by an older list.
+        A new process must not route requests by an older list than the one that the agent on this machine
+        has, and a successor not by an older list than the one that its predecessor had received. The wait is
+        limited to `AGENT_LIST_TIMEOUT_S` or `SUCCESSOR_LIST_TIMEOUT_S`.
         """
         inherited = self._config.inherited_listener is not None
         if self.watch is None or (self._config.settings.watch_required and not inherited):
@@ -156,7 +163,7 @@
     # --- updates ---
 
     def remove_unreachable(self, server: ListedEndpoint) -> None:
-        """Removes a recovered endpoint that did not answer, until discovery lists it again."""
+        """Removes a recovered endpoint that did not respond, until discovery lists it again."""
         endpoint = self._core.endpoints.get(server.id)
         if endpoint is not None and self.listed_endpoints.pop(server.id, None) is not None:
             gone = replace(endpoint, state=EndpointState.REMOVED)
@@ -168,7 +175,7 @@
         self._store_endpoints(event)
         update = self._start_times.translate(now_ms(), event.update)
         if update.scope is not UpdateScope.DELTA:
-            # Discovery does not list the operator's own hosts: a complete list would remove them.
+            # A complete list would remove the hosts of the operator's file, which discovery does not list.
             update = replace(update, endpoints=(*update.endpoints, *self._config.openai_endpoints))
         if self._cordons is not None:
             update = self._cordons.apply(update)
@@ -199,7 +206,7 @@
                 del self.listed_endpoints[endpoint.id]
 
     def _retain_lost_hosts(self, event: WatchEvent, state_writer: StateWriter) -> WatchEvent:
-        """Adds the lost hosts to a list that lost most of them, and has it fetched again after a while."""
+        """Adds the lost hosts to a list that lacks most known hosts, and schedules a new request for it."""
         loss = state_writer.panic_threshold.check(now_ms(), self.listed_endpoints, event.messages)
         if loss is None:
             return event
@@ -219,5 +226,5 @@
             self.watch.request_list()
 
     def _handle_unchanged_list(self) -> None:
-        """Nothing has changed since the list that was known at the start."""
+        """Reports that discovery has confirmed the list that was known at startup."""
         self._recovery.list_changed((), self.version, complete=False, listed=len(self.listed_endpoints))
--- a/violetstack/daemon/event_loop.py
+++ b/violetstack/daemon/event_loop.py
@@ -1,4 +1,4 @@
-"""The task that runs the core when an event has arrived or a timer is due."""
+"""Runs the core when an event has arrived or a timer is due."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from violetstack.net.clock import now_ms
 from violetstack.net.pause_detector import PauseDetector
 
-# A stop during a wait for I/O shows only if it outlasts the wait, so this bounds the age of what may be read
-# as if it had just come.
+# A pause of the process during a wait for I/O is detected only if it outlasts the wait, so this limits the
+# age of input that is treated as if it had just arrived.
 MAX_WAIT_S = 0.06
-FAILURE_RETRY_S = 0.01  # after a turn that failed; what it left undone is taken up in the next
+FAILURE_RETRY_S = 0.01  # after the core raised; the next run continues with the remaining work
 
 
 class WakeSignal:
-    """Ends the event loop's wait for the next timer."""
+    """Interrupts the event loop's wait for the next timer."""
 
     def __init__(self) -> None:
         """Creates a signal that is not set."""
         self._event = trio.Event()
 
     def set(self) -> None:
-        """Ends the current wait; the core runs in the next turn."""
+        """Ends the current wait, so that the event loop runs the core."""
         self._event.set()
 
     def clear(self) -> None:
-        """Has the next `wait` wait for a `set` from now on."""
+        """Resets the signal; `wait` then waits for the next `set`."""
         self._event = trio.Event()
 
     async def wait(self) -> None:
@@ -39,11 +39,12 @@
     """Runs the core when its wake signal is set or a timer is due."""
 
     def __init__(self, core: Dispatcher, pause_detector: PauseDetector, wake_signal: WakeSignal) -> None:
-        """Creates a loop that does nothing until `run`."""
+        """Creates an event loop that starts with `run`."""
         self._core = core
         self._pause_detector = pause_detector
         self._wake_signal = wake_signal
-        # A wait longer than half the time in which a drain binds could hide a stop for as long.
+        # A wait can hide a pause of the same length, so no wait exceeds half the time for which a draining
+        # host still accepts attempts.
         self._longest_wait_s = min(MAX_WAIT_S, core.drain_grace_ms / 2000.0)
 
     async def run(self) -> None:
@@ -60,7 +61,10 @@
                 await self._wake_signal.wait()
 
     def _run_core(self) -> bool:
-        """Runs the core; False if it raised, which must not end the process and every request with it."""
+        """Runs the core and returns False if it raised an exception.
+
+        The exception is logged and not raised, so that it does not end the process and its requests.
+        """
         try:
             self._core.run(now_ms())
         except Exception as error:
--- a/violetstack/daemon/fronts.py
+++ b/violetstack/daemon/fronts.py
@@ -1,4 +1,4 @@
-"""The client-facing listeners: the platform front, the chat front, its certificate and its store."""
+"""Starts the listeners for clients: the platform front, and the chat front with certificate and store."""
 
 from __future__ import annotations
 
@@ -27,16 +27,22 @@
     from violetstack.idempotency.service import IdempotencyService
 
 RESOURCE_EXHAUSTION_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-STARTUP_RETRY_TIMEOUT_S = 20.0  # a process that is not ready after 30 s counts as failed
+STARTUP_RETRY_TIMEOUT_S = 20.0  # below the 30 s after which a process that is not ready counts as failed
 STARTUP_RETRY_INTERVAL_S = 0.05
 BACKLOG = 512
 
 
 class FrontServers:
-    """Opens the listeners that the configuration names.
-
-    `listeners` is the daemon's own list, which load shedding and the limits read; new ones are appended, and
-    `apply_limits` is called after each.
+    """Opens the listeners that are configured.
+
+    Attributes:
+        listeners: The daemon's list, which load shedding and the limits read; new listeners are appended.
+        listening_sockets: The listening sockets of all listeners; empty after `stop_accepting`.
+        platform: The listener of the platform front.
+        chat: The chat front.
+        idempotency: The service that stores idempotency records, if configured.
+        certificate: A certificate that is read from files and reloaded; None with ACME.
+        challenge_address: Where the ACME challenge listener is bound.
     """
 
     def __init__(
@@ -47,7 +53,7 @@
         listeners: list[Listener],
         apply_limits: Callable[[], None],
     ) -> None:
-        """Opens nothing yet."""
+        """Opens no listener; `apply_limits` is called whenever one has been opened."""
         self._config = config
         self._core = core
         self._nursery = nursery
@@ -57,11 +63,15 @@
         self.platform: Listener | None = None
         self.chat: ChatFront | None = None
         self.idempotency: IdempotencyService | None = None
-        self.certificate: Certificate | None = None  # one that no ACME keeps
+        self.certificate: Certificate | None = None
         self.challenge_address: Address | None = None
 
     async def start_platform(self, address: Address) -> Address:
-        """Starts the platform front. Raises ConfigError if the address can't be bound."""
+        """Starts the platform front and returns the bound address.
+
+        Raises:
+            ConfigError: The address cannot be bound.
+        """
         front = PlatformFront(
             self._core, RequestReader(self._config.settings_message), now_ms, log_rate_limited
         )
@@ -70,9 +80,11 @@
         return bound
 
     async def start_chat(self, chat: ChatFrontConfig) -> Address:
-        """Starts the chat front with its store and certificate.
+        """Starts the chat front with idempotency store and certificate, and returns the bound address.
 
-        Raises ConfigError if the address can't be bound, OSError if a certificate can't be read.
+        Raises:
+            ConfigError: The address cannot be bound.
+            OSError: The certificate cannot be read.
         """
         from violetstack.fronts.chat import ChatFront
 
@@ -93,23 +105,23 @@
         return await self._listen(parse_address(operator.listen), self.chat, tls_handshake)
 
     def stop_accepting(self) -> None:
-        """Closes the listening sockets; open connections go on."""
+        """Closes the listening sockets; open connections are unaffected."""
         for listener in self.listening_sockets:
             listener.socket.close()
         self.listening_sockets.clear()
 
     def connections_queued(self) -> bool:
-        """Does a connection wait in a listening socket's queue?"""
+        """Returns whether a connection waits in the accept queue of a listening socket."""
         return any(is_readable(listener.socket, if_unknown=True) for listener in self.listening_sockets)
 
     def record_closed_queues(self) -> None:
-        """The listening sockets are about to be closed over connections that nobody has accepted."""
+        """Records that the listening sockets will be closed while connections wait in their accept queues."""
         for listener in self.listeners:
             listener.closes.record_queue_closed(str(self._config.listen))
 
     @property
     def busy(self) -> bool:
-        """Is a connection open on which something may still come, or be lost, or a record to be written?"""
+        """Whether requests can still arrive, or responses or idempotency records are unfinished."""
         responses_pending = self.chat is not None and self.chat.pending
         records_pending = self.idempotency is not None and self.idempotency.pending_calls
         tables = [listener.table for listener in self.listeners]
@@ -139,7 +151,7 @@
         from violetstack.idempotency.service import IdempotencyService
         from violetstack.idempotency.store import IdempotencyStore
 
-        owner = f"{self._config.node.name}/{uuid.uuid4().hex}"  # a restart is another owner
+        owner = f"{self._config.node.name}/{uuid.uuid4().hex}"  # each process is a different owner
         store = IdempotencyStore(
             store_config.file, owner, store_config.keep_hours * 3600.0, store_config.lease_s
         )
@@ -162,17 +174,17 @@
 async def _run_guarded(function: Callable[[], Awaitable[None]]) -> None:
     try:
         await function()
-    except Exception as error:  # no request's failure ends the nursery
+    except Exception as error:  # one failed request must not cancel the nursery
         log("request_failed", error=repr(error))
 
 
 async def listen_on(address: Address, key: str) -> list[trio.SocketListener]:
-    """Listens at the address of the key `name`.
+    """Listens on the address that is configured under `key`.
 
-    Where the system lacks a descriptor or memory for the moment, this goes on trying for `START_RETRIES_S`.
+    If the system temporarily lacks descriptors or memory, retries for up to `STARTUP_RETRY_TIMEOUT_S`.
 
     Raises:
-        ConfigError: The address can't be bound.
+        ConfigError: The address cannot be bound.
     """
     give_up_at = trio.current_time() + STARTUP_RETRY_TIMEOUT_S
     while True:
--- a/violetstack/daemon/hot_restart.py
+++ b/violetstack/daemon/hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart between two processes of one dispatcher; loaded only where they share a directory."""
+"""Hot restart between two processes of one dispatcher; imported only if a shared directory is configured."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class HotRestart:
-    """This process's handover record, and the streams that migrate from one process to another."""
+    """Writes this process's handover record and migrates streams from the predecessor to the successor."""
 
     def __init__(
         self,
@@ -38,7 +38,17 @@
         capture_learned_state: Callable[[], LearnedState],
         on_siblings_changed: Callable[[], None],
     ) -> None:
-        """`learned` captures the policy's estimates; `on_siblings_changed`: a process began or ended."""
+        """Finds the other processes of this dispatcher through `directory`.
+
+        Args:
+            config: The configuration of this process.
+            directory: The directory that the processes of this dispatcher share.
+            lifecycle: Tells whether this process accepts requests.
+            cordons: The cordons to write into the record.
+            endpoints: The endpoint list to write into the record.
+            capture_learned_state: Returns the policy's current estimates.
+            on_siblings_changed: Called when another process of this dispatcher has started or ended.
+        """
         self._directory = directory
         self._name = config.node.name
         self._inherited = config.inherited_listener is not None
@@ -60,27 +70,27 @@
 
     @property
     def process_count(self) -> int:
-        """How many processes of this dispatcher share the machine's limits: one or two."""
+        """The number of processes of this dispatcher that share the machine's limits: one or two."""
         return 2 if self._siblings.any_alive(now_ms()) else 1
 
     def request_write(self) -> None:
-        """Has the record written in the next round."""
+        """Requests that the next round of the handover service writes the record."""
         self.handover.request_write()
 
     def write(self) -> None:
-        """Writes the record now; a failure is logged and tried again in the next round."""
+        """Writes the record now; after a failure, which is logged, the next round tries again."""
         with contextlib.suppress(NotRecordedError):
             self.handover.request_write()
             self.handover.write_record()
 
     def find_successor(self) -> str | None:
-        """The id of the process that takes over from this one."""
+        """Returns the id of the process that takes over from this one, if there is one."""
         self.handover.refresh()
         successor = self.handover.successor
         return successor.process_id if successor is not None else None
 
     def predecessor_record(self) -> HandoverRecord | None:
-        """The newest record that another process of this dispatcher has left."""
+        """Returns the latest handover record of another process of this dispatcher, if there is one."""
         self.handover.refresh()
         return self._siblings.latest_record()
 
@@ -91,7 +101,11 @@
         upstream_driver: UpstreamDriver,
         platform: Callable[[], Listener | None],
     ) -> None:
-        """Called before this process reports ready, since SIGTERM to the predecessor follows at once."""
+        """Starts to receive the predecessor's streams.
+
+        Called before this process reports that it is ready, since SIGTERM to the predecessor may follow at
+        once.
+        """
         if not self._inherited:
             return
         from violetstack.net.stream_migration import StreamReceiver, socket_path
@@ -102,7 +116,7 @@
         await nursery.start(receiver.run, socket_path(self._directory, self._siblings.process_id))
 
     async def migrate_streams(self, core: Dispatcher, upstream_driver: UpstreamDriver) -> None:
-        """Offers the streams that have started to the successor, if there is one."""
+        """Offers all started streams to the successor, if there is one."""
         successor = self.find_successor()
         if not self._inherited or successor is None:
             return
--- a/violetstack/daemon/lifecycle.py
+++ b/violetstack/daemon/lifecycle.py
@@ -1,4 +1,4 @@
-"""The phase of the process: starting, accepting requests, shutting down."""
+"""The phase of the process: starting, accepting requests or shutting down."""
 
 from __future__ import annotations
 
@@ -11,32 +11,36 @@
 
 
 class SignalTime(NamedTuple):
-    """When a signal came, in milliseconds of `now_ms`.
+    """When a signal arrived, in milliseconds of `now_ms`.
 
-    A process that was stopped handles a signal once it goes on, and the event loop gets to it later still.
+    A paused process runs the signal handler only after the pause, and its event loop responds later still, so
+    the exact time of arrival is unknown.
 
     Attributes:
-        earliest_ms: The process was last known to run then.
-        handled_ms: When its handler ran.
+        earliest_arrival_ms: When the process was last known to run before the handler ran.
+        handled_ms: When the signal handler ran.
     """
 
     earliest_arrival_ms: float
     handled_ms: float
 
     def delayed(self, by_ms: float) -> SignalTime:
-        """The time for a shutdown that begins `by_ms` later."""
+        """Returns the times for a shutdown schedule that starts `by_ms` later."""
         return SignalTime(self.earliest_arrival_ms + by_ms, self.handled_ms + by_ms)
 
 
 class Lifecycle:
-    """Whether the endpoint list is known, new requests are taken, and shutdown has been asked for.
+    """The state of startup and shutdown.
 
     Attributes:
+        started: Whether the endpoint list is known.
+        accepting: Whether client requests are accepted.
+        stop: Set to shut the process down.
         last_running_ms: Returns when the process was last known to run.
     """
 
     def __init__(self) -> None:
-        """Creates the state of a process that has just begun."""
+        """Creates the state of a process that is starting."""
         self.started = False
         self.accepting = False
         self.stop = trio.Event()
@@ -44,10 +48,10 @@
         self._signal: SignalTime | None = None
 
     def record_signal(self) -> None:
-        """Notes the time of the first signal that ends the process; called in the signal's handler."""
+        """Records the time of the first signal that ends the process; called in the signal handler."""
         if self._signal is None:
             self._signal = SignalTime(self.last_running_ms(), now_ms())
 
     def signal_time(self) -> SignalTime:
-        """When the first signal came; now, if `stop` was set without one."""
+        """Returns the time of the first signal, or the current time if `stop` was set without a signal."""
         return self._signal or SignalTime(now_ms(), now_ms())
--- a/violetstack/daemon/limits.py
+++ b/violetstack/daemon/limits.py
@@ -1,4 +1,4 @@
-"""Applies the machine's limits to the listeners and the upstream connection pool."""
+"""Applies the configured resource limits to the listeners and the upstream connection pool."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LimitAllocator:
-    """Divides the limits of the configuration between listeners, upstream connections and processes."""
+    """Divides the configured limits between processes, upstream connections and listeners."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         listeners: list[Listener],
         process_count: Callable[[], int],
     ) -> None:
-        """Counts the listeners that the configuration opens; they share the clients' part of the limits."""
+        """Counts the configured listeners, which divide the share of the clients between them."""
         acme = config.chat.operator.acme if config.chat is not None else None
         self._config = config
         self._upstream_driver = upstream_driver
@@ -30,10 +30,14 @@
         self._front_count = sum(front is not None for front in (config.listen, config.chat, acme)) or 1
 
     def apply(self) -> None:
-        """Sets the limits in force: after a reload, a new listener, or another process that came or went."""
+        """Recomputes and sets the limits.
+
+        Called after a reload, for each new listener, and when another process of this dispatcher has started
+        or ended.
+        """
         limits = self._config.limits
         process_count = self._process_count()
-        allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]  # of each process, whatever is configured
+        allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]  # the system's limit per process
         share = divide_limits(
             min(int(limits.sockets), allowed * process_count),
             limits.memory_mb,
--- a/violetstack/daemon/optional_services.py
+++ b/violetstack/daemon/optional_services.py
@@ -1,4 +1,4 @@
-"""Builds what runs only where the configuration asks for it; each module is imported only then."""
+"""Builds and starts the services that are optional; their modules are imported only if configured."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def start_state_writer(
     config: Config, nursery: trio.Nursery, capture_learned_state: Callable[[], LearnedState]
 ) -> StateWriter | None:
-    """The durable state, where the operator's file names a folder."""
+    """Starts to store the endpoint list and estimates, if the operator's file names a state folder."""
     state = config.operator.state if config.operator is not None else None
     if state is None:
         return None
@@ -46,7 +46,10 @@
 
 
 def build_gossip_transport(config: Config) -> GossipTransport | None:
-    """The gossip socket, where the configuration names one. A successor binds it beside its predecessor."""
+    """Creates the gossip transport, if an address is configured.
+
+    A successor binds the same address while its predecessor still uses it.
+    """
     if config.peer_listen is None:
         return None
     reuse_address = config.inherited_listener is not None
@@ -56,7 +59,11 @@
 async def start_admin_server(
     config: Config, nursery: trio.Nursery, daemon: AdministeredDaemon
 ) -> Address | None:
-    """The admin API, where the configuration names an address. Raises ConfigError if it can't be bound."""
+    """Starts the admin API, if configured, and returns the bound address.
+
+    Raises:
+        ConfigError: The address cannot be bound.
+    """
     if config.admin_listen is None:
         return None
     from violetstack.net.admin_server import AdminServer
@@ -78,7 +85,7 @@
     is_eligible: Callable[[], bool],
     is_suspect: Callable[[str], bool],
 ) -> LeaseService | None:
-    """Leases, where the operator's file has them."""
+    """Starts the lease service, if the operator's file configures leases."""
     lease_config = config.operator.duties if config.operator is not None else None
     if lease_config is None:
         return None
@@ -92,7 +99,7 @@
 
 
 def build_routing(config: Config, core: Dispatcher) -> Routing | None:
-    """Routes, pools and policies, where the operator's file has routes."""
+    """Builds routing with routes and pools and connects it to the core, if the operator's file has routes."""
     if not config.routing_plan:
         return None
     from violetstack.routing.generations import Routing
@@ -122,7 +129,7 @@
     router: Router,
     listeners: list[Listener],
 ) -> LoadSheddingService:
-    """The levels of reduced service that the operator's file defines."""
+    """Starts load shedding with the levels of reduced service that the operator's file defines."""
     from violetstack.load_shedding.load_shedder import LoadShedder, admission_weights
     from violetstack.net.load_shedding import LoadSheddingService
 
--- a/violetstack/daemon/process.py
+++ b/violetstack/daemon/process.py
@@ -1,4 +1,4 @@
-"""The process: configuration, signals and exit status of one dispatcher."""
+"""Runs a dispatcher as a process: reads the configuration, handles signals, returns the exit status."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 def serve(path: str, file: str | None = None) -> int:
-    """Serves until SIGTERM and returns the exit status: 0, or 2 for a configuration that can't be used.
+    """Serves until SIGTERM and returns the exit status: 0, or 2 for an unusable configuration.
 
-    `path` is the file that NODE_CONFIG names, `file` the operator's; either may be missing.
+    `path` is the file that NODE_CONFIG names, `file` the operator's file; either may be missing.
     """
     write_in_background()
     try:
@@ -30,7 +30,7 @@
 
 
 def _serve(path: str, file: str | None) -> int:
-    # The file may have been read already when a SIGHUP comes, so one during startup counts as well.
+    # The file may already have been read when a SIGHUP arrives, so it causes a reload during startup as well.
     early_sighup = SignalRecorder(signal.SIGHUP)
     try:
         config = _load_at_start(path, file)
@@ -43,7 +43,7 @@
     try:
         tolerate_wakeup_errors()
         trio.run(run, config, lambda: load(path, file, again=True), early_sighup)
-    except* ConfigError as errors:  # an address that is taken, or none of this machine's
+    except* ConfigError as errors:  # an address is in use, or not one of this machine's
         config_errors += flatten_group(errors)
     for config_error in config_errors:
         log("config_invalid", error=str(config_error))
@@ -51,7 +51,11 @@
 
 
 def _load_at_start(path: str, file: str | None) -> Config:
-    """Reads the configuration, again and again while the system refuses to read it for the moment."""
+    """Reads the configuration and retries while the system temporarily cannot read it.
+
+    Raises:
+        ConfigError: The configuration is invalid, or still unreadable after `STARTUP_RETRY_TIMEOUT_S`.
+    """
     give_up_at = time.monotonic() + STARTUP_RETRY_TIMEOUT_S
     while True:
         try:
@@ -64,10 +68,10 @@
 
 
 class SignalRecorder:
-    """Remembers whether a signal came before the process was ready to act on it."""
+    """Records whether a signal arrived before the process was ready to handle it."""
 
     def __init__(self, number: signal.Signals) -> None:
-        """Handles the signal until another handler is installed."""
+        """Installs a handler for the signal, which records it until another handler is installed."""
         self.received = False
         signal.signal(number, self._record)
 
@@ -78,9 +82,9 @@
 async def run(
     config: Config, load_config: Callable[[], Config], early_sighup: SignalRecorder | None = None
 ) -> None:
-    """Serves until SIGTERM; SIGHUP reads the configuration again, during a drain as well.
+    """Serves until SIGTERM or SIGINT; reloads the configuration on SIGHUP, also during a shutdown.
 
-    `early_reload` has recorded the SIGHUPs since before `config` was read.
+    `early_sighup` has recorded SIGHUP since before `config` was read; one that arrived causes a reload.
     """
     daemon = Daemon(config)
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
@@ -103,7 +107,7 @@
 
 
 def _call_before_handler(number: signal.Signals, notify: Callable[[], None]) -> None:
-    """Has `notify` called when the signal comes, ahead of the handler that is installed."""
+    """Installs a signal handler that calls `notify` and then the handler installed before."""
     handler = signal.getsignal(number)
 
     def notify_and_handle(received: int, frame: FrameType | None) -> None:
@@ -115,7 +119,7 @@
 
 
 def flatten_group(errors: BaseExceptionGroup[Exception]) -> list[Exception]:
-    """The exceptions of a group and of the groups within it."""
+    """Returns the exceptions of a group and of its nested groups."""
     return [
         leaf
         for error in errors.exceptions
--- a/violetstack/daemon/reload.py
+++ b/violetstack/daemon/reload.py
@@ -1,4 +1,4 @@
-"""Reads the configuration again and finds what in it has to wait for a restart."""
+"""Reads the configuration for a reload and determines which changes require a restart."""
 
 from __future__ import annotations
 
@@ -10,24 +10,30 @@
 from violetstack.log import log
 from violetstack.operator_config import ChatFrontConfig, OperatorConfigError
 
-RELOAD_RETRY_S = 0.2  # after the system refused to read the file
-# Keys whose change takes effect at the next start.
+RELOAD_RETRY_S = 0.2  # after the system temporarily could not read the file
+# Changes to these keys take effect only after a restart.
 RESTART_ONLY_NODE_KEYS = ("listen", "settings", "peer_listen", "peers")
 RESTART_ONLY_OPERATOR_KEYS = ("hosts", "ledger", "acme", "platform", "duties")
 
 
 class ReloadedConfig(msgspec.Struct, frozen=True):
-    """A configuration that was read while serving; `chat` is checked against the settings in force."""
+    """A configuration that was read for a reload.
+
+    Attributes:
+        config: The configuration.
+        chat: The chat front's configuration, checked against the settings of the running process, which a
+            reload does not change.
+    """
 
     config: Config
     chat: ChatFrontConfig | None
 
 
 def read_config(load_config: Callable[[], Config], running: Config) -> ReloadedConfig | None:
-    """Reads the new configuration; None, and a line in the log, if it can't be used.
+    """Reads the new configuration; logs the error and returns None if it is invalid.
 
     Raises:
-        ConfigUnreadableError: It can't be read at the moment, which is in the log as well.
+        ConfigUnreadableError: The configuration cannot be read at the moment; this is logged too.
     """
     try:
         config = load_config()
@@ -44,7 +50,7 @@
 
 
 def keys_requiring_restart(running: Config, new: Config) -> list[str]:
-    """The keys that differ and that a reload does not take."""
+    """Returns the keys that have changed and that a reload does not apply."""
     changed = [key for key in RESTART_ONLY_NODE_KEYS if getattr(new.node, key) != getattr(running.node, key)]
     changed += [
         key
--- a/violetstack/daemon/shutdown.py
+++ b/violetstack/daemon/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: finishes the requests in flight, and serves new ones while they may still come."""
+"""Graceful shutdown: finishes the requests in flight and serves the new ones that can still arrive."""
 
 from __future__ import annotations
 
@@ -25,20 +25,21 @@
 
 
 class ClosedConnections(NamedTuple):
-    """What a shutdown has done to client connections, for its last log line."""
+    """How a shutdown has closed client connections, for the log event `stopped`."""
 
     closed: dict[str, int]
     """Connections closed since SIGTERM, by reason."""
     violations: dict[str, int]
-    """Promises to clients that closes have broken since the process began, by kind."""
+    """Number of violations (`Violation`) by closes since the process started, by kind."""
 
 
 class GracefulShutdown:
-    """Ends the process without losing a request that it has taken, or that comes shortly after SIGTERM.
+    """Shuts down without losing accepted requests or requests that arrive shortly after SIGTERM.
 
     New connections are accepted until `ShutdownSchedule.stop_accepting_s`, or until a successor accepts them.
-    Responses carry `Connection: close` (RFC 9112, section 9.6) and idle connections are closed. A connection
-    that has not sent its request yet is still read: the request is served, and rejected from `reject_s` on.
+    Responses carry `Connection: close` (RFC 9112, section 9.6), and idle connections are closed. Connections
+    that have not sent a request yet are still read: until `reject_s` their requests are served, after it
+    rejected.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         fronts: FrontServers,
         hot_restart: HotRestart | None,
     ) -> None:
-        """Takes the parts and the time of SIGTERM; nothing is shut down before `run`."""
+        """Stores the components and the time of SIGTERM; the shutdown starts with `run`."""
         self._lifecycle = lifecycle
         self._signal = signal
         self._core = core
@@ -66,7 +67,7 @@
         self._waiting_ended = False
 
     async def run(self) -> None:
-        """Returns once no request is open any more, and no connection is left on which one could come."""
+        """Returns once no request is open and no connection is left on which a request could arrive."""
         self._closed_before = self._count_closes()
         log(
             "shutdown_started",
@@ -78,7 +79,8 @@
         for listener in self._fronts.listeners:
             listener.draining = True
         await self._hand_over_to_successor()
-        # Whether anything is left is asked in the very step in which idle connections were closed.
+        # The check that nothing is left happens in the same step, without a wait, as the closing of idle
+        # connections; otherwise a connection could become idle in between.
         nothing_left = self._run_due_steps()
         while not nothing_left:
             await trio.sleep(POLL_S)
@@ -87,7 +89,7 @@
             self._fronts.idempotency.stop_retrying()
 
     def closed_connections(self) -> ClosedConnections:
-        """Returns what became of the client connections, once nothing is left to do."""
+        """Returns how client connections were closed; complete once `run` has returned."""
         violations: Counter[str] = Counter()
         for listener in self._fronts.listeners:
             violations.update({kind.value: count for kind, count in listener.closes.violations.items()})
@@ -104,10 +106,10 @@
         return dict(Counter(connection.lifecycle.state.value for connection in connections))
 
     def _run_due_steps(self) -> bool:
-        """Takes the steps that are due after SIGTERM; returns whether nothing is left to do.
+        """Performs the steps that are due and returns whether nothing is left to do.
 
-        SIGKILL may follow from the earliest time at which the signal can have come, and new connections may
-        come until some time after the latest.
+        The time of SIGKILL is reckoned from the earliest time at which SIGTERM can have arrived. The time
+        until which clients may open new connections is reckoned from when SIGTERM was handled, the latest.
         """
         schedule = self._schedule
         elapsed_s = (now_ms() - self._signal.earliest_arrival_ms) / 1000.0
@@ -122,7 +124,7 @@
             self._core.shutdown_started()
         if self._lifecycle.accepting:
             self._stop_accepting_if_due((now_ms() - self._signal.handled_ms) / 1000.0)
-            return False  # what was accepted last is not in its listener's table before the next turn
+            return False  # connections accepted last enter their listener's table in the next iteration
         for listener in self._fronts.listeners:
             listener.table.close_idle()
             if elapsed_s >= schedule.close_silent_s:
@@ -130,10 +132,11 @@
         return not self._core.open_requests and not self._fronts.busy
 
     def _stop_accepting_if_due(self, elapsed_s: float) -> None:
-        """Closes the listening sockets once their queues are empty: closing resets what waits in them.
+        """Closes the listening sockets once their accept queues are empty or `close_listener_s` is reached.
 
-        A client may have written its request to a connection that nobody has accepted yet. However long a
-        busy process takes to accept them, they are accepted while an answer can still reach them.
+        Closing a listening socket resets the connections in its queue, on which clients may already have sent
+        requests. A busy process may accept them late, so it keeps accepting while a response can still reach
+        the client.
         """
         if elapsed_s < self._schedule.stop_accepting_s:
             return
@@ -144,9 +147,10 @@
             self._stop_accepting()
 
     async def _hand_over_to_successor(self) -> None:
-        """Leaves new connections, gossip and the streams that have started to the successor, if there is one.
+        """Leaves new connections, gossip and started streams to the successor, if there is one.
 
-        A client that connects now waits in the listening socket's queue, which the successor accepts from.
+        Both processes share the listening socket, so the successor accepts the connections that are still in
+        its queue.
         """
         if self._hot_restart is None or self._hot_restart.find_successor() is None:
             return
@@ -163,9 +167,9 @@
 
 
 def _close_silent_connections(table: ConnectionTable) -> None:
-    """Closes connections that wait for a request, or for the rest of one, which is answered 503.
+    """Closes connections that have not sent a request or only part of one; a partial request is answered 503.
 
-    What came now could not be answered before SIGKILL.
+    A request that arrived now could not be answered before SIGKILL.
     """
     partial_requests = [connection for connection in table.idle if connection.http.busy]
     for connection in [*table.awaiting_first_request, *partial_requests]:
@@ -174,4 +178,7 @@
 
 
 def _discard_gossip(_payload: bytes) -> None:
-    """Sends no gossip: the successor has the same address, and receivers replace what they had from it."""
+    """Replaces the sending of gossip.
+
+    The successor sends from the same address, and receivers would replace its data with this process's.
+    """
--- a/violetstack/daemon/shutdown_schedule.py
+++ b/violetstack/daemon/shutdown_schedule.py
@@ -1,8 +1,8 @@
-"""When each step of a shutdown is due, in seconds after SIGTERM.
+"""Times of the steps of a shutdown, in seconds after SIGTERM.
 
-SIGKILL may follow as soon as the longest client timeout, at most MAX_DRAIN_S, and KILL_DELAY_S have passed.
-A request that came more than KILL_DELAY_S after SIGTERM is lost if SIGKILL finds it without its response, so
-requests are rejected at once from well before that time on:
+SIGKILL may follow once the longest client timeout (at most MAX_DRAIN_S) plus KILL_DELAY_S has passed. A
+request that arrives later than KILL_DELAY_S after SIGTERM is lost if it has no response by SIGKILL. Requests
+are therefore rejected immediately from REJECT_REQUESTS_S on:
 
 | longest timeout | rejected from | waiting requests end | silent connections close | SIGKILL from |
 | --- | --- | --- | --- | --- |
@@ -11,7 +11,7 @@
 | 0.65 s | 0.6 s | 0.85 s | 1.2 s | 1.35 s |
 | 3 s and more | 0.6 s | 3.2 s | 3.55 s | 3.7 s |
 
-A stream that has started goes on to its end, or to SIGKILL.
+Started streams continue until they end or until SIGKILL.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 MAX_DRAIN_S = 3.0
 KILL_DELAY_S = 0.7
-STOP_ACCEPTING_S = 0.55  # load balancers in front send new connections for up to 0.4 s
-# A margin before KILL_DELAY_S, for a signal or a request that a busy process reads late.
+STOP_ACCEPTING_S = 0.55  # load balancers open new connections for up to 0.4 s after SIGTERM
+# Before KILL_DELAY_S, since a busy process handles a signal or reads a request late.
 REJECT_REQUESTS_S = 0.6
-MIN_PROCESSING_S = 0.05  # of a request that was accepted at the last moment
-FINAL_RESPONSES_S = 0.5  # before SIGKILL, for the last answers and releases
-# After the earliest SIGKILL: until it comes, what waits in the queue is rejected.
+MIN_PROCESSING_S = 0.05  # for a request that was read just before rejecting starts
+FINAL_RESPONSES_S = 0.5  # before SIGKILL, for the last responses and releases
+# After the earliest SIGKILL; until SIGKILL, connections in the accept queue are accepted and rejected.
 LISTENER_CLOSE_DELAY_S = 0.05
-SILENT_CLOSE_MARGIN_S = 0.15  # before SIGKILL, so that no request comes that can't be answered any more
+SILENT_CLOSE_MARGIN_S = 0.15  # before SIGKILL; a request that arrived later could not be answered
 
 
 @dataclass(frozen=True)
@@ -35,12 +35,12 @@
     """The steps of one shutdown, in seconds after SIGTERM.
 
     Attributes:
-        stop_accepting_s: From here on the listening socket is closed once its queue is empty.
-        close_listener_s: The listening socket is closed, whatever its queue holds.
-        reject_s: Requests that are read from here on are rejected.
-        end_waiting_s: Requests without a first event get their final answer.
-        close_silent_s: Connections on which no request has begun are closed.
-        kill_s: The earliest SIGKILL.
+        stop_accepting_s: From now on, the listening socket is closed once its accept queue is empty.
+        close_listener_s: The listening socket is closed even if connections wait in its accept queue.
+        reject_s: Requests that are read from now on are rejected.
+        end_waiting_s: Requests whose response has not started receive their final response.
+        close_silent_s: Connections without a complete request are closed.
+        kill_s: The earliest time of SIGKILL.
     """
 
     stop_accepting_s: float
