--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -46,7 +46,7 @@
     attempt = harness.send("w1")
     attempt.request_written = True
     harness.core.client_disconnected(harness.now, harness.request)
-    harness.run(after=100.0)
+    harness.run(after_ms=100.0)
     assert not attempt.finished  # a running attempt may finish, so that the client's retry finds its result
     harness.core.attempt_finished(harness.now, attempt, AttemptStatus.RESET)
     finished = [event for event in harness.core.pending_events if isinstance(event, AttemptFinished)]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -144,9 +144,9 @@
         )
         return self.core.accept(self.now, request, self.ports, None)
 
-    def run(self, *actions: Action, after: float = 0.0) -> None:
-        """Advances the clock by `after` milliseconds, and has the policy return the actions."""
-        self.now += after
+    def run(self, *actions: Action, after_ms: float = 0.0) -> None:
+        """Advances the clock by `after_ms`, and has the policy return the actions."""
+        self.now += after_ms
         self.ports.scripted_actions += actions
         if actions:
             self.core.pending_events.append(TimerFired("go"))
@@ -165,7 +165,7 @@
 ) -> None:
     harness = CoreHarness()
     harness.send("w1").request_written = written
-    harness.run(after=501.0)
+    harness.run(after_ms=501.0)
     assert harness.ports.statuses == [status]
     assert harness.request.may_have_run is written
 
@@ -183,7 +183,7 @@
 def test_request_gets_one_final_response_despite_later_actions() -> None:
     harness = CoreHarness()
     harness.run(RejectRequest("q", 100.0), FailRequest("q"), SendAttempt("q", "w1", 0.0))
-    harness.run(after=4000.0)
+    harness.run(after_ms=4000.0)
     assert harness.ports.answers == ["rejected"]
     assert harness.ports.statuses == [AttemptStatus.ALREADY_FINISHED]
     assert not harness.core.open_requests
@@ -192,7 +192,7 @@
 def test_request_left_open_by_the_policy_fails_at_its_deadline() -> None:
     harness = CoreHarness()
     harness.send("w1", timeout_ms=9000.0).request_written = True
-    harness.run(after=3001.0)
+    harness.run(after_ms=3001.0)
     assert len(harness.ports.answers) == 1
     assert ClientDisconnected("q") in harness.ports.events or harness.ports.statuses == [
         AttemptStatus.TIMEOUT
@@ -203,7 +203,7 @@
     harness = CoreHarness()
     attempt = harness.send("w1")
     assert harness.core.stream_started(harness.now, attempt)
-    harness.run(after=9000.0)
+    harness.run(after_ms=9000.0)
     assert harness.ports.answers == ["stream_started"]
     harness.core.attempt_finished(harness.now, attempt, AttemptStatus.RESET)
     harness.run(RejectRequest("q", 0.0))
@@ -252,7 +252,7 @@
     harness.core.release_finished(harness.now, harness.ports.releases[0], True)
     assert harness.request.hold.may_be_held
     harness.core.release_finished(harness.now, harness.ports.releases[1], True)
-    harness.run(after=MAX_DELIVERY_MS)
+    harness.run(after_ms=MAX_DELIVERY_MS)
     assert (
         len(harness.ports.releases) == 3
     )  # the second may have reached a host before the end of the prefill did
@@ -269,10 +269,10 @@
     harness.run(RejectRequest("q", 0.0))
     assert len(harness.ports.releases) == 1
     harness.core.release_finished(harness.now, harness.ports.releases[0], True)
-    harness.run(after=MAX_DELIVERY_MS - 1.0)
+    harness.run(after_ms=MAX_DELIVERY_MS - 1.0)
     assert len(harness.ports.releases) == 1
     assert harness.core.open_requests
-    harness.run(after=1.0)
+    harness.run(after_ms=1.0)
     assert len(harness.ports.releases) == 2
     harness.core.release_finished(harness.now, harness.ports.releases[1], True)
     harness.run()
@@ -398,7 +398,7 @@
     harness.core.request_written(harness.now, decode)
     if not acknowledged:
         harness.ports.unacknowledged.append(decode)
-    harness.run(after=SETTINGS.state_retention_ms)
+    harness.run(after_ms=SETTINGS.state_retention_ms)
     assert len(harness.ports.releases) == 1
     assert harness.ports.aborted == ([] if acknowledged else [decode])
     assert decode.finished is not acknowledged
@@ -420,7 +420,7 @@
     decode = harness.send("w1", timeout_ms=2500.0)
     harness.core.request_written(harness.now, decode)
     harness.ports.unacknowledged.append(decode)
-    harness.run(after=SETTINGS.state_retention_ms)
+    harness.run(after_ms=SETTINGS.state_retention_ms)
     assert harness.request.may_have_run
     attempts_before = len(harness.ports.attempts)
     harness.run(SendAttempt("q", "w2", harness.now + 500.0))
--- a/tests/test_idempotency_invariant.py
+++ b/tests/test_idempotency_invariant.py
@@ -47,14 +47,14 @@
     attempt: Attempt
 
 
-class Play(CoreHarness):
+class Scenario(CoreHarness):
     """A simulated sequence of steps: a core, a policy that takes any action, and a driver like the real one.
 
     Attributes:
         written: Attempts that hosts have received completely, in order.
         rejected: Numbers of the attempts that were rejected by their host and so not executed.
         ended: Numbers of the attempts whose end the driver reported; their connection is closed or idle.
-        broken: The violations that the audit found.
+        violations: Descriptions of the rule violations that the audit found.
     """
 
     def __init__(self, spec: ClassSettings, *, hedging: bool, cancel: bool, max_attempts: int) -> None:
@@ -71,8 +71,8 @@
         self.written: list[WrittenAttempt] = []
         self.rejected: set[int] = set()
         self.ended: set[int] = set()
-        self.broken: list[str] = []
-        self.client_left_at: float | None = None
+        self.violations: list[str] = []
+        self.client_disconnected_at: float | None = None
 
     def perform(self, action: Action) -> None:
         self.run(action)
@@ -108,7 +108,7 @@
         self.core.attempt_finished(self.now, attempt, status)
 
     def disconnect_client(self) -> None:
-        self.client_left_at = self.client_left_at or self.now
+        self.client_disconnected_at = self.client_disconnected_at or self.now
         self.core.client_disconnected(self.now, self.request)
 
     # --- audit ---
@@ -116,19 +116,19 @@
     def audit(self, attempt: Attempt) -> None:
         """Records the rules that an attempt breaks whose last byte is written now."""
         if self.ports.answers:
-            self.broken.append("sent after the final response")
-        if self.client_left_at is not None:
-            self.broken.append("sent after the client disconnected")
+            self.violations.append("sent after the final response")
+        if self.client_disconnected_at is not None:
+            self.violations.append("sent after the client disconnected")
         if len(self.written) >= self.settings.max_attempts:
-            self.broken.append("too many attempts")
+            self.violations.append("too many attempts")
         if self.now >= attempt.deadline or attempt.deadline > self.request.deadline:
-            self.broken.append("sent after the deadline")
+            self.violations.append("sent after the deadline")
         others = [other for other in self.ports.attempts if other is not attempt]
         if any(not other.finished for other in others) and not self.settings.hedging_allowed:
-            self.broken.append("sent while another attempt is in flight")
+            self.violations.append("sent while another attempt is in flight")
         closed = [other for other in others if other in self.ports.aborted or other.number in self.ended]
         if any(other.finished and other not in closed for other in others):
-            self.broken.append("sent while the connection of another attempt is open")
+            self.violations.append("sent while the connection of another attempt is open")
         if not attempt.is_prefill:
             self.audit_execution(attempt)
 
@@ -139,11 +139,11 @@
             return
         first = executions[0]
         if self.spec.idempotency is Idempotency.NON_IDEMPOTENT:
-            self.broken.append("executed twice")
+            self.violations.append("executed twice")
         elif self.now >= first.written_at + self.spec.deduplication_window_ms:
-            self.broken.append("repeated after the deduplication window")
+            self.violations.append("repeated after the deduplication window")
         elif not self.share_deduplication_records(first.attempt.server, attempt.server):
-            self.broken.append("repeated outside the deduplication scope")
+            self.violations.append("repeated outside the deduplication scope")
 
     def share_deduplication_records(self, first: str, second: str) -> bool:
         hosts = {host.server: host for host in HOSTS}
@@ -163,7 +163,7 @@
     scope: DeduplicationScope
     hedging: bool
     cancel: bool
-    survives: bool
+    continue_after_disconnect: bool
     max_attempts: int
 
     @property
@@ -200,85 +200,89 @@
     st.booleans(),
     st.integers(1, 6),
 )
-RARE_STEPS = ("leave", "cancel", "reject", "fail", "drain", "gone")
+RARE_STEPS = ("disconnect", "cancel", "reject", "fail", "drain", "remove")
 
 
-def take(play: Play, step: Step) -> None:
+def perform_step(scenario: Scenario, step: Step) -> None:
     """Performs one step of a sequence."""
-    attempt = play.select_running(step.number)
+    attempt = scenario.select_running(step.number)
     kind = RARE_STEPS[step.number] if step.kind == "rare" else step.kind
     match kind:
         case "send" | "attempt":
-            play.perform(SendAttempt("q", step.server, play.now + step.ms if step.ms else 0.0))
-            if kind == "attempt" and play.ports.attempts:
-                play.connect(play.ports.attempts[-1])
-                play.write(play.ports.attempts[-1])
+            scenario.perform(SendAttempt("q", step.server, scenario.now + step.ms if step.ms else 0.0))
+            if kind == "attempt" and scenario.ports.attempts:
+                scenario.connect(scenario.ports.attempts[-1])
+                scenario.write(scenario.ports.attempts[-1])
         case "wait":
-            play.run(after=step.ms)
-        case "leave":
-            play.disconnect_client()
+            scenario.run(after_ms=step.ms)
+        case "disconnect":
+            scenario.disconnect_client()
         case "cancel":
-            play.perform(CancelAttempt("q", step.number % 3))
+            scenario.perform(CancelAttempt("q", step.number % 3))
         case "reject":
-            play.perform(RejectRequest("q", 0.0))
+            scenario.perform(RejectRequest("q", 0.0))
         case "fail":
-            play.perform(FailRequest("q"))
-        case "drain" | "gone":
+            scenario.perform(FailRequest("q"))
+        case "drain" | "remove":
             state = EndpointState.DRAINING if kind == "drain" else EndpointState.REMOVED
             endpoint = replace(HOSTS[HOST_NAMES.index(step.server)], state=state)
-            play.core.update_endpoints(play.now, EndpointUpdate(UpdateScope.DELTA, (endpoint,), 3))
+            scenario.core.update_endpoints(scenario.now, EndpointUpdate(UpdateScope.DELTA, (endpoint,), 3))
         case "connect" if attempt is not None:
-            play.connect(attempt)
+            scenario.connect(attempt)
         case "write" if attempt is not None:
-            play.connect(attempt)
-            play.write(attempt)
+            scenario.connect(attempt)
+            scenario.write(attempt)
         case "end" if attempt is not None:
-            play.end(attempt, step.status)
+            scenario.end(attempt, step.status)
     if step.number % 2:
-        play.run()  # otherwise the event loop runs the core only after the next step
+        scenario.run()  # otherwise the event loop runs the core only after the next step
 
 
 @settings(max_examples=120, derandomize=True, deadline=None)
 @given(case=CASES, steps=st.lists(STEPS, min_size=4, max_size=20))
-def test_no_play_of_policy_hosts_and_client_breaks_a_rule(case: Case, steps: list[Step]) -> None:
-    play = Play(case.spec, hedging=case.hedging, cancel=case.cancel, max_attempts=case.max_attempts)
-    play.request.survives_disconnect = case.survives
+def test_no_sequence_of_steps_of_policy_hosts_and_client_violates_a_rule(
+    case: Case, steps: list[Step]
+) -> None:
+    scenario = Scenario(case.spec, hedging=case.hedging, cancel=case.cancel, max_attempts=case.max_attempts)
+    scenario.request.survives_disconnect = case.continue_after_disconnect
     for step in steps:
-        take(play, step)
-    play.run(after=5000.0)
-    assert play.broken == []
-    final = [each for each in play.ports.answers if each not in ("stream_started", "event")]
-    left_alone = play.client_left_at is not None and not case.survives
-    streaming = play.request.committed_attempt is not None and not play.request.done
-    assert len(final) == (0 if streaming or (left_alone and not final) else 1)
+        perform_step(scenario, step)
+    scenario.run(after_ms=5000.0)
+    assert scenario.violations == []
+    final_responses = [
+        answer for answer in scenario.ports.answers if answer not in ("stream_started", "event")
+    ]
+    abandoned = scenario.client_disconnected_at is not None and not case.continue_after_disconnect
+    streaming = scenario.request.committed_attempt is not None and not scenario.request.done
+    assert len(final_responses) == (0 if streaming or (abandoned and not final_responses) else 1)
 
 
 # --- tests of single rules ---
 
 
 def test_non_idempotent_request_is_not_executed_twice_even_if_hedging_is_allowed() -> None:
-    play = Play(NON_IDEMPOTENT_CLASS, hedging=True, cancel=True, max_attempts=4)
-    first = play.send("w1")
-    play.run(SendAttempt("q", "w2", 0.0))
-    assert play.ports.attempts == [first]  # although the first is not written yet
-    play.run(SendAttempt("q", "r1", 0.0))
-    assert len(play.ports.attempts) == 2  # a prefill has no effect
-    play.write(first)
-    play.end(first, AttemptStatus.RESET)
-    play.run(SendAttempt("q", "m1", 0.0))
-    assert len(play.ports.attempts) == 2  # a mixed host executes what it prefills
+    scenario = Scenario(NON_IDEMPOTENT_CLASS, hedging=True, cancel=True, max_attempts=4)
+    first = scenario.send("w1")
+    scenario.run(SendAttempt("q", "w2", 0.0))
+    assert scenario.ports.attempts == [first]  # although the first is not written yet
+    scenario.run(SendAttempt("q", "r1", 0.0))
+    assert len(scenario.ports.attempts) == 2  # a prefill has no effect
+    scenario.write(first)
+    scenario.end(first, AttemptStatus.RESET)
+    scenario.run(SendAttempt("q", "m1", 0.0))
+    assert len(scenario.ports.attempts) == 2  # a mixed host executes what it prefills
 
 
 def test_non_idempotent_request_is_sent_again_after_a_rejection() -> None:
-    play = Play(NON_IDEMPOTENT_CLASS, hedging=False, cancel=True, max_attempts=4)
-    first = play.send("w1")
-    play.connect(first)
-    play.write(first)
-    play.end(first, AttemptStatus.REJECTED)
-    second = play.send("w2")
-    play.connect(second)
-    play.write(second)
-    assert [entry.attempt for entry in play.written] == [first, second]
+    scenario = Scenario(NON_IDEMPOTENT_CLASS, hedging=False, cancel=True, max_attempts=4)
+    first = scenario.send("w1")
+    scenario.connect(first)
+    scenario.write(first)
+    scenario.end(first, AttemptStatus.REJECTED)
+    second = scenario.send("w2")
+    scenario.connect(second)
+    scenario.write(second)
+    assert [entry.attempt for entry in scenario.written] == [first, second]
 
 
 @pytest.mark.parametrize(("after", "sent"), [(290.0, True), (301.0, False)])
@@ -286,37 +290,37 @@
     after: float, sent: bool
 ) -> None:
     """Guards against a window that starts only when the first attempt ends, or at the one that ends first."""
-    play = Play(KEYED, hedging=True, cancel=True, max_attempts=4)
-    first = play.send("w1", timeout_ms=2000.0)
-    play.connect(first)
-    play.write(first)
-    play.run(after=150.0)
-    second = play.send("w2", timeout_ms=2000.0)
-    play.connect(second)
-    play.write(second)
-    play.end(second, AttemptStatus.RESET)
-    play.run(after=after - 150.0)
-    play.run(SendAttempt("q", "w3", 0.0))
-    assert (len(play.ports.attempts) == 3) is sent
+    scenario = Scenario(KEYED, hedging=True, cancel=True, max_attempts=4)
+    first = scenario.send("w1", timeout_ms=2000.0)
+    scenario.connect(first)
+    scenario.write(first)
+    scenario.run(after_ms=150.0)
+    second = scenario.send("w2", timeout_ms=2000.0)
+    scenario.connect(second)
+    scenario.write(second)
+    scenario.end(second, AttemptStatus.RESET)
+    scenario.run(after_ms=after - 150.0)
+    scenario.run(SendAttempt("q", "w3", 0.0))
+    assert (len(scenario.ports.attempts) == 3) is sent
 
 
 def test_rest_of_a_repetition_is_withheld_once_the_deduplication_window_is_over() -> None:
-    play = Play(KEYED, hedging=False, cancel=True, max_attempts=4)
-    first = play.send("w1")
-    play.connect(first)
-    play.write(first)
-    play.end(first, AttemptStatus.RESET)
-    play.run(after=200.0)
-    second = play.send("w2")
-    play.connect(second)
-    play.run(after=101.0)
-    play.write(second)
-    assert len(play.written) == 1
+    scenario = Scenario(KEYED, hedging=False, cancel=True, max_attempts=4)
+    first = scenario.send("w1")
+    scenario.connect(first)
+    scenario.write(first)
+    scenario.end(first, AttemptStatus.RESET)
+    scenario.run(after_ms=200.0)
+    second = scenario.send("w2")
+    scenario.connect(second)
+    scenario.run(after_ms=101.0)
+    scenario.write(second)
+    assert len(scenario.written) == 1
 
 
 def test_attempt_past_its_deadline_is_not_written_even_if_its_timer_has_not_run() -> None:
     """The event loop may write before it runs timers; the host would be given a deadline of 1 ms."""
-    play = Play(IDEMPOTENT_CLASS, hedging=False, cancel=True, max_attempts=4)
-    attempt = play.send("w1", timeout_ms=100.0)
-    play.now += 100.0
-    assert not play.core.may_send(play.now, attempt)
+    scenario = Scenario(IDEMPOTENT_CLASS, hedging=False, cancel=True, max_attempts=4)
+    attempt = scenario.send("w1", timeout_ms=100.0)
+    scenario.now += 100.0
+    assert not scenario.core.may_send(scenario.now, attempt)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -142,9 +142,9 @@
     prefill = harness.send("r1")
     write(harness, prefill)
     harness.core.attempt_finished(harness.now, prefill, AttemptStatus.PREFILLED)
-    harness.run(after=SETTINGS.state_retention_ms + 299.0)
+    harness.run(after_ms=SETTINGS.state_retention_ms + 299.0)
     assert not violations(harness)
-    harness.run(after=2.0)
+    harness.run(after_ms=2.0)
     assert violations(harness) == {
         Rule.HELD_STATE: 1
     }  # as soon as it is overdue, whether or not a release follows
