--- a/violetstack/admin/api.py
+++ b/violetstack/admin/api.py
@@ -1,4 +1,4 @@
-"""The admin API over HTTP/1.1 without I/O: the bytes of a request in, the bytes of its response out."""
+"""The admin API over HTTP/1.1, without I/O: takes the bytes of a request, returns those of its response."""
 
 from __future__ import annotations
 
@@ -27,35 +27,35 @@
 )
 from violetstack.protocol.http_server import Headers, HttpRequest, HttpServerConnection, InvalidRequestError
 
-MAX_BODY_BYTES = 1024  # the longest body is one id or lease name
+MAX_BODY_BYTES = 1024  # a body is at most one endpoint id or lease name
 NAME_PATTERN = re.compile(r"[!-~]{1,128}")
 JSON_HEADERS: Headers = [("Content-Type", "application/json"), ("Cache-Control", "no-store")]
 
 
 class AdminOperations(Protocol):
-    """What the API can do with a dispatcher."""
+    """The operations that the API provides on a dispatcher."""
 
     @property
     def started(self) -> bool:
-        """Whether the endpoint list is known; hosts can be cordoned from then on, until the process ends."""
+        """Whether the endpoint list is known; once it is, hosts can be cordoned until the process ends."""
 
     @property
     def accepting(self) -> bool:
         """Whether client requests are accepted."""
 
     def stats(self) -> StatsResponse:
-        """Returns the metrics as they are now."""
+        """Returns the current metrics."""
 
     def invariants(self) -> InvariantsResponse:
-        """Returns the violations of the operators' rules that this process has counted."""
+        """Returns how often this process has violated each invariant."""
 
     def cordon(self, endpoint_id: str) -> None:
-        """Sends no new work to an endpoint, and records that for a successor process.
+        """Cordons an endpoint, which then gets no new work, and records the cordon for a successor process.
 
         Raises:
             UnknownEndpointError: No listed or cordoned endpoint has this id.
-            TooManyCordonsError: No more cordons can be kept track of.
-            NotRecordedError: The record could not be written.
+            TooManyCordonsError: The number of cordons has reached its limit.
+            NotRecordedError: The record for a successor process could not be written.
         """
 
     def uncordon(self, endpoint_id: str) -> None:
@@ -63,25 +63,25 @@
 
         Raises:
             UnknownEndpointError: No listed or cordoned endpoint has this id.
-            NotRecordedError: The record could not be written.
+            NotRecordedError: The record for a successor process could not be written.
         """
 
     def leases(self) -> LeasesResponse:
-        """Returns the leases of the tier as far as this dispatcher knows them.
+        """Returns the leases of the tier that this dispatcher knows.
 
         Raises:
             RequestRejectedError: No leases are configured.
         """
 
     def request_restart(self) -> RestartPermitResponse:
-        """Asks for a restart permit, and shuts the process down once there is one.
+        """Requests a restart permit; if it is granted, shuts the process down.
 
         Raises:
-            RequestRejectedError: There is no permit yet, or permits are not configured.
+            RequestRejectedError: The permit is not granted yet, or permits are not configured.
         """
 
     def resign(self, lease_name: str) -> ResignResponse:
-        """Gives up a lease.
+        """Releases a lease.
 
         Raises:
             RequestRejectedError: The lease is not held here, or no leases are configured.
@@ -89,21 +89,21 @@
 
 
 class Route(NamedTuple):
-    """The method of a path, and the function that serves it."""
+    """The method of a path, and the function that handles its requests."""
 
     method: str
     handle: Callable[[AdminOperations, HttpRequest], msgspec.Struct]
-    needs_start: bool  # whether the endpoint list has to be known
+    needs_start: bool  # whether requests are rejected until the endpoint list is known
 
 
 class AdminConnection:
-    """One connection, which carries one request.
+    """A connection that carries one request.
 
-    `feed` returns what is to be sent; after the response, `finished` is true.
+    `feed` returns the bytes to send; `finished` is true once they include the response.
     """
 
     def __init__(self, operations: AdminOperations, log: Callable[..., None]) -> None:
-        """Takes the operations and the log function, called with an event name and its fields."""
+        """Creates a connection; `log` is called with an event name and the event's fields."""
         self._operations = operations
         self._log = log
         self._http = HttpServerConnection(most_body=MAX_BODY_BYTES)
@@ -122,7 +122,7 @@
             return self._reject(request, RequestRejectedError(error.status, error.reason))
         except RequestRejectedError as error:
             return self._reject(request, error)
-        except Exception as error:  # a bug in one operation must not end the server
+        except Exception as error:  # a bug in one operation must not stop the server
             return self._reject(request, RequestRejectedError(500, repr(error)))
         return self._respond(200, JSON_HEADERS, body)
 
@@ -195,7 +195,7 @@
 
 
 def _change_cordon(change: Callable[[str], None], endpoint_id: str) -> None:
-    """Calls an operation and turns its errors into error responses."""
+    """Calls `change` with the endpoint and converts its errors to error responses."""
     try:
         change(endpoint_id)
     except UnknownEndpointError as error:
@@ -211,7 +211,7 @@
 
 
 def _name(request: HttpRequest, expected: str) -> str:
-    """Returns the one name that the request's body consists of."""
+    """Returns the name in the request's body; `expected` describes it in the error."""
     try:
         name = bytes(request.body).decode().strip()
     except UnicodeDecodeError:
--- a/violetstack/admin/cordons.py
+++ b/violetstack/admin/cordons.py
@@ -1,4 +1,4 @@
-"""Cordons: endpoints that operators take out of rotation, as an overlay on the endpoint list."""
+"""Cordons: operators take endpoints out of rotation; the cordons are an overlay on the endpoint list."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from violetstack.admin.errors import TooManyCordonsError, UnknownEndpointError
 from violetstack.policy_api import Endpoint, EndpointState, EndpointUpdate, UpdateScope
 
-MAX_CORDONS = 1_000  # ended ones included, which are forgotten first; bounds the handover record
+MAX_CORDONS = 1_000  # includes ended cordons, which are evicted first; limits the size of the handover record
 
 
 class Cordon(msgspec.Struct, frozen=True):
-    """The last call for an endpoint; part of the handover record, which keeps the short names.
+    """The latest change of an endpoint's cordon; stored in the handover record under the short names.
 
     Attributes:
-        active: Whether it cordoned the endpoint or ended the cordon.
-        changed_ms: When that was, in Unix milliseconds.
-        since_ms: When the endpoint was cordoned, in Unix milliseconds.
+        active: Whether the endpoint is cordoned; false once the cordon was ended.
+        changed_ms: Time of the change, in Unix milliseconds.
+        since_ms: Time at which the endpoint was cordoned, in Unix milliseconds.
     """
 
     active: bool = msgspec.field(name="out")
@@ -30,25 +30,25 @@
 class Cordons:
     """The cordons of a dispatcher, laid over its endpoint list.
 
-    The latest call for an endpoint counts, whichever of the dispatcher's processes received it. A cordoned
-    endpoint is published as draining, whatever the list says. One that has left the list stays removed, and
-    is cordoned again if its id returns.
+    The latest change of an endpoint's cordon applies, whichever of the dispatcher's processes received it. A
+    cordoned endpoint is published as draining, whatever its state in the list. If it leaves the list, it is
+    published as removed, and it is cordoned again if its id returns.
 
-    The list may report late that an endpoint was restarted while cordoned. Until it reports a start after
-    the cordon began, the endpoint counts as started when the cordon ended: it gets a slow start, and failures
-    from before no longer count against it.
+    The list may report late that an endpoint was restarted while cordoned. Until the list has a start time
+    later than the start of the cordon, the end of the cordon is published as the start time: the endpoint
+    gets a slow start, and earlier failures no longer count against it.
 
     Attributes:
-        records: The last call by endpoint id.
+        records: The latest change, by endpoint id.
     """
 
     def __init__(self) -> None:
-        """Starts without cordons."""
+        """Creates an instance without cordons."""
         self.records: dict[str, Cordon] = {}
         self._listed: dict[str, Endpoint] = {}
 
     def apply(self, update: EndpointUpdate) -> EndpointUpdate:
-        """Returns an update of the endpoint list with the cordons laid over it."""
+        """Records an update of the endpoint list and returns it with the cordons applied."""
         if update.scope is not UpdateScope.DELTA:
             self._listed = {}
         for endpoint in update.endpoints:
@@ -60,11 +60,11 @@
         return replace(update, endpoints=tuple(self._overlay(endpoint) for endpoint in update.endpoints))
 
     def cordon(self, now: float, endpoint_id: str) -> EndpointUpdate:
-        """Cordons an endpoint and returns the update that follows; a second call changes nothing.
+        """Cordons an endpoint and returns the update to publish; a repeated call changes no record.
 
         Raises:
             UnknownEndpointError: The endpoint is neither listed nor cordoned.
-            TooManyCordonsError: `MAX_CORDONS` endpoints are cordoned.
+            TooManyCordonsError: `MAX_CORDONS` endpoints are already cordoned.
         """
         cordon = self.records.get(endpoint_id)
         if cordon is not None and cordon.active:
@@ -72,14 +72,14 @@
         if endpoint_id not in self._listed:
             raise UnknownEndpointError(endpoint_id)
         if len(self.records) >= MAX_CORDONS:
-            self._forget_one()
-        # Later than the end that it follows, whatever the wall clocks of the processes that set them showed.
+            self._evict_ended()
+        # Later than the end of the previous cordon, even if that was set by a process whose clock is ahead.
         since_ms = now if cordon is None else max(now, cordon.changed_ms + 1.0)
         self.records[endpoint_id] = Cordon(True, since_ms, since_ms)
         return self._update(endpoint_id)
 
     def uncordon(self, now: float, endpoint_id: str) -> EndpointUpdate:
-        """Ends a cordon and returns the update that follows; without a cordon it changes nothing.
+        """Ends a cordon and returns the update to publish; without a cordon it changes no record.
 
         Raises:
             UnknownEndpointError: The endpoint is neither listed nor cordoned.
@@ -93,7 +93,7 @@
         return self._update(endpoint_id)
 
     def merge(self, records: Mapping[str, Cordon]) -> EndpointUpdate | None:
-        """Takes another process's records; returns the update that follows, None if they are not newer."""
+        """Merges another process's records; returns the update to publish, None if no record is newer."""
         newer = {
             endpoint_id: cordon
             for endpoint_id, cordon in records.items()
@@ -107,8 +107,12 @@
         """The ids of the cordoned endpoints, sorted."""
         return sorted(endpoint_id for endpoint_id, cordon in self.records.items() if cordon.active)
 
-    def _forget_one(self) -> None:
-        """Forgets the oldest ended cordon, of an unlisted endpoint if there is one."""
+    def _evict_ended(self) -> None:
+        """Evicts the record that ended first, of an unlisted endpoint if there is one.
+
+        Raises:
+            TooManyCordonsError: No cordon has ended.
+        """
         ended = [endpoint_id for endpoint_id, cordon in self.records.items() if not cordon.active]
         unlisted = [endpoint_id for endpoint_id in ended if endpoint_id not in self._listed]
         candidates = unlisted or ended
--- a/violetstack/admin/errors.py
+++ b/violetstack/admin/errors.py
@@ -13,30 +13,30 @@
     """No listed or cordoned endpoint has this id.
 
     Attributes:
-        endpoint_id: The id that was asked for.
+        endpoint_id: The requested id.
     """
 
     def __init__(self, endpoint_id: str) -> None:
-        """Takes the id that was asked for."""
+        """Creates the error for the requested id."""
         super().__init__(f"no model host has the id {endpoint_id!r}")
         self.endpoint_id = endpoint_id
 
 
 class TooManyCordonsError(AdminError):
-    """As many endpoints are cordoned as the dispatcher keeps track of.
+    """The number of cordons has reached its limit.
 
     Attributes:
-        limit: How many that is.
+        limit: The largest number of cordoned endpoints.
     """
 
     def __init__(self, limit: int) -> None:
-        """Takes the limit."""
+        """Creates the error for the limit."""
         super().__init__(f"{limit} hosts are out")
         self.limit = limit
 
 
 class NotRecordedError(AdminError):
-    """The record for a successor process could not be written; nothing was changed."""
+    """The record for a successor process could not be written; the cordons are unchanged."""
 
 
 class RequestRejectedError(AdminError):
@@ -45,11 +45,11 @@
     Attributes:
         status: HTTP status.
         reason: Text of the response and of the log line.
-        headers: Further headers of the response.
+        headers: Additional headers of the response.
     """
 
     def __init__(self, status: int, reason: str, headers: Headers | None = None) -> None:
-        """Takes the status, the text and further headers of the response."""
+        """Creates the error for the status, text and additional headers of the response."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
--- a/violetstack/admin/metrics.py
+++ b/violetstack/admin/metrics.py
@@ -1,8 +1,8 @@
-"""Composes the metrics that operators read.
+"""Composes the metrics of the admin API.
 
-Each is counted where its event happens: the request counters by the core as it accepts and finishes a request
-(`violetstack.core.metrics`), `relayed` as the last byte of an attempt is written, `registry_entries` from the
-core's endpoint list, `out_of_rotation` by the policy.
+The core counts requests when it accepts and finishes them (`violetstack.core.metrics`), and attempts when
+their last byte is written (`relayed`). `registry_entries` is the length of the core's endpoint list, and the
+policy provides `out_of_rotation`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 def stats_response(
     metrics: RequestMetrics, class_names: Sequence[str], *, listed_endpoints: int, avoided_endpoints: int
 ) -> StatsResponse:
-    """Composes the response; each class of the settings has its counters from the start."""
+    """Returns the response; every class of the settings has counters, also before its first request."""
     operations = {
         name: OperationCounts(row.fulfilled, row.throttled, row.faulted)
         for name, row in zip(class_names, metrics.classes, strict=True)
@@ -28,9 +28,9 @@
 
 
 def kinds_without_healthy_endpoint(endpoints: Iterable[Endpoint], kind_names: Sequence[str]) -> list[str]:
-    """Returns the kinds whose listed endpoints are all not healthy: requests that need one are rejected."""
+    """Returns the kinds with listed endpoints but no healthy one; requests that need one are rejected."""
     states: dict[int, set[EndpointState]] = {}
     for endpoint in endpoints:
         states.setdefault(endpoint.kind, set()).add(endpoint.state)
-    missing = [kind for kind, seen in states.items() if EndpointState.HEALTHY not in seen]
+    missing = [kind for kind, kind_states in states.items() if EndpointState.HEALTHY not in kind_states]
     return [kind_names[kind] for kind in missing if kind < len(kind_names)]
--- a/violetstack/admin/responses.py
+++ b/violetstack/admin/responses.py
@@ -1,7 +1,7 @@
-"""Bodies of the admin API's responses.
+"""Response bodies of the admin API.
 
-The JSON names are an interface of operators' scripts and dashboards and stay as they are; where the code has
-a better term, the field's `name` is the JSON name.
+Operators' scripts and dashboards depend on the JSON names, so they must not change; where a field has another
+name in the code, its `name` option is the JSON name.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class ErrorResponse(msgspec.Struct, frozen=True):
-    """Body of every response with a status of 400 or more."""
+    """Body of every error response (status 400 or higher)."""
 
     error: str
 
@@ -36,12 +36,12 @@
 
 
 class OperationCounts(msgspec.Struct, frozen=True):
-    """How the requests of one class ended since the process started.
+    """Number of finished requests of one class since the process started, by outcome.
 
     Attributes:
         fulfilled: Answered completely.
         throttled: Rejected (429, 503) before anything was sent to a client.
-        faulted: Failed, overdue, invalid for a host, or cut off after the first event.
+        faulted: Failed, overdue, rejected by a host as invalid, or truncated after the first event.
     """
 
     fulfilled: int
@@ -53,11 +53,11 @@
     """The metrics of the process.
 
     Attributes:
-        operations: Counters by request class; each class of the settings is there from the start.
-        requests_written: Attempts written completely to model hosts, retries and hedges included.
-        open_requests: Requests accepted and not finished.
+        operations: Counters by request class, for every class of the settings.
+        requests_written: Attempts completely written to model hosts, including retries and hedged requests.
+        open_requests: Requests that are accepted and not finished.
         listed_endpoints: Endpoints in the endpoint list.
-        avoided_endpoints: Listed endpoints that are not chosen now.
+        avoided_endpoints: Listed endpoints that the policy does not choose at present.
     """
 
     operations: dict[str, OperationCounts]
@@ -68,13 +68,13 @@
 
 
 class InvariantsResponse(msgspec.Struct, frozen=True):
-    """What this process has seen itself do against the operators' rules.
+    """Violations of invariants that this process has detected in its own behaviour.
 
     Attributes:
-        violations: Number of violations by rule; each rule is there from the start.
-        log_lines_dropped: Log lines that the output did not take.
-        client_connections: Number of closes of client connections that broke a promise, by kind.
-        held: What model hosts may hold for open requests now.
+        violations: Number of violations, for every rule.
+        log_lines_dropped: Log lines that could not be written.
+        client_connections: Number of client connections that were closed too early, by kind of violation.
+        held: State and decode slots that model hosts may hold for open requests.
     """
 
     violations: dict[str, int]
@@ -88,12 +88,12 @@
 
     Attributes:
         name: Name of the lease.
-        holder: Number of the dispatcher that holds it; None if nobody does, or it is not known.
+        holder: Number of the dispatcher that holds it; None if none does or the holder is not known.
         held_here: Whether this dispatcher holds it.
-        fencing_token: Increases with each holder.
-        remaining_ms: Time to expiry.
+        fencing_token: Increases each time the lease is acquired.
+        remaining_ms: Time until it expires.
         reason: Why the holder last changed.
-        changed_ms_ago: When the holder last changed; None if it has not.
+        changed_ms_ago: Time since the holder last changed; None if it has not.
     """
 
     name: str
@@ -106,17 +106,17 @@
 
 
 class LeasesResponse(msgspec.Struct, frozen=True):
-    """This dispatcher's part in the leases of the tier.
+    """The leases of the tier, and the role of this dispatcher in granting them.
 
     Attributes:
         dispatcher: Its number.
         eligible: Whether it may acquire leases.
-        acceptors: Numbers of the dispatchers whose majority grants a lease.
-        grants: Whether it grants leases itself; None if it is no acceptor. An acceptor grants none for the
-            time of one lease after its start.
-        datagrams_sent: Lease datagrams sent since the start.
-        bytes_sent: Their bytes.
-        leases: The leases it knows.
+        acceptors: Numbers of the dispatchers that are acceptors; a majority of them grants a lease.
+        grants: Whether it grants leases; None if it is not an acceptor. After its start an acceptor grants
+            none for the duration of one lease.
+        datagrams_sent: Number of lease datagrams sent since the start.
+        bytes_sent: Total size of these datagrams.
+        leases: The leases that this dispatcher knows.
     """
 
     dispatcher: int = msgspec.field(name="me")
@@ -129,12 +129,12 @@
 
 
 class RestartPermitResponse(msgspec.Struct, frozen=True):
-    """The tier permits this process to restart; it shuts down."""
+    """The restart permit is granted, and the process shuts down."""
 
     permit: str = msgspec.field(name="leave", default="given")
 
 
 class ResignResponse(msgspec.Struct, frozen=True):
-    """This dispatcher has given up the lease."""
+    """This dispatcher has released the lease."""
 
     lease: str = msgspec.field(name="resigned")
