--- a/violetstack/load_shedding/__init__.py
+++ b/violetstack/load_shedding/__init__.py
@@ -1,9 +1,10 @@
 """Load shedding: levels of reduced service that the operator's file defines.
 
-`signals` turns events and gauges into readings, `signal_conditions` are the rules over them,
-`state_machine` moves between the levels, `admission` admits or sheds requests under one, `journal` is what a
-restart reads, and `load_shedder` puts them together behind the core's port. Nothing here does I/O or reads a
-clock.
+`signals` computes readings from events and gauges, `signal_conditions` evaluates conditions on them,
+`state_machine` enters and leaves levels, and `admission` admits or sheds requests under the current level.
+`journal` encodes the records that a restart restores the level from. `load_shedder` combines them and
+implements the core's port. Nothing here does I/O or reads a clock.
 
-A level bounds what the policy works under. The policy itself still rejects, retries and chooses endpoints.
+A level only limits the requests and retries that reach the policy. The policy still rejects, retries and
+chooses endpoints itself.
 """
--- a/violetstack/load_shedding/errors.py
+++ b/violetstack/load_shedding/errors.py
@@ -8,27 +8,27 @@
 
 
 class TooManyRegionsError(LoadSheddingError):
-    """A condition expands into more regions than are worth comparing.
+    """A condition expands into more regions than the limit.
 
     Attributes:
-        limit: How many are.
+        limit: The largest number of regions.
     """
 
     def __init__(self, limit: int) -> None:
-        """Takes the limit."""
+        """Creates the error for the limit."""
         super().__init__(f"the condition has more than {limit} cases")
         self.limit = limit
 
 
 class InvalidJournalLineError(LoadSheddingError):
-    """A line of the journal that is truncated, corrupt or of another shape."""
+    """A line of the journal is truncated, corrupt or no valid record."""
 
 
 class JournalChecksumError(InvalidJournalLineError):
-    """A line of the journal whose checksum does not match."""
+    """The checksum of a line of the journal does not match."""
 
     def __init__(self) -> None:
-        """The line itself is not kept."""
+        """Creates the error."""
         super().__init__("checksum mismatch")
 
 
@@ -36,10 +36,10 @@
     """No level has this name.
 
     Attributes:
-        level: The name that was asked for.
+        level: The requested name.
     """
 
     def __init__(self, level: str) -> None:
-        """Takes the name that was asked for."""
+        """Creates the error for the requested name."""
         super().__init__(f"there is no level {level!r}")
         self.level = level
--- a/violetstack/load_shedding/fair_share.py
+++ b/violetstack/load_shedding/fair_share.py
@@ -1,17 +1,17 @@
-"""Max-min fair shares, and the hash that decides which sessions are part of a share."""
+"""Max-min fair shares, and the hash that selects the sessions within a share."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from hashlib import blake2b
 
-HASH_BYTES = 7  # the most that a float holds exactly
+HASH_BYTES = 7  # the largest number of bytes whose values a float represents exactly
 HASH_RANGE = 1 << (8 * HASH_BYTES)
 MIN_WEIGHT = 1e-9
 
 
 def hash_fraction(name: str) -> float:
-    """Returns a number from 0 to below 1 that is the same for a name in every dispatcher."""
+    """Returns a number in [0, 1) that every dispatcher computes alike for a name."""
     digest = blake2b(name.encode("utf-8", "replace"), digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest) / HASH_RANGE
 
@@ -19,9 +19,9 @@
 def weighted_fair_shares(
     budget: float, demand: Mapping[int, float], weights: Mapping[int, float]
 ) -> dict[int, float]:
-    """Divides a budget by water-filling, the fluid form of weighted fair queueing.
+    """Divides a budget by water-filling, the fluid model of weighted fair queueing.
 
-    Each gets at most its demand; those whose demand is not met all get the same amount per weight.
+    No key gets more than its demand; the keys that get less all get the same amount per weight.
     """
     shares: dict[int, float] = {}
     budget_left = budget
--- a/violetstack/load_shedding/headroom.py
+++ b/violetstack/load_shedding/headroom.py
@@ -1,4 +1,4 @@
-"""The headroom of the hosts, as the levels of load shedding watch it. It changes no routing decision."""
+"""The headroom of the hosts, a signal for load shedding. It does not affect routing decisions."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Headroom(NamedTuple):
-    """Freeness of the best host of each stage; None where there is none."""
+    """Freeness of the best host of each stage; None if the stage has no host."""
 
     prefill: float | None
     decode: float | None
 
 
 def headroom(router: Router, now: float) -> Headroom:
-    """Freeness of the best hosts for an empty prompt of the most demanding class."""
+    """Returns the freeness of the best hosts for an empty prompt of the class with the shortest objective."""
     state = router.state
     prefill = []
     for host in state.endpoints.prefill_hosts:
--- a/violetstack/load_shedding/journal.py
+++ b/violetstack/load_shedding/journal.py
@@ -1,12 +1,12 @@
-"""The journal of levels: what a restart reads, and `violetstack level history` shows.
+"""The journal of levels, from which a restart restores the level and `violetstack level history` is printed.
 
-One line a record: the CRC-32 of the rest in hexadecimal, a space, a JSON object with a format number. A
-truncated tail or a corrupt line is skipped. While a level is in force, a heartbeat record every few seconds
-says so.
+A record is one line: the CRC-32 of the rest of the line in hexadecimal, a space, and a JSON object with a
+format number. Truncated and corrupt lines are skipped. While the level is not normal, a heartbeat record is
+written every `HEARTBEAT_S`.
 
-A restart takes the newest record. Its level is in force at once if the record is no older than the file's
-`remember`; for each further `remember` it is one level lower. A record of the future, or of a newer format,
-is not used.
+A restart restores the level of the newest record if that is younger than the `remember` setting of the
+operator's file. For each full `remember` that has passed since the record, the level is one lower. A record
+that is dated in the future or has a newer format is not used.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 from violetstack.load_shedding.errors import InvalidJournalLineError, JournalChecksumError
 
 FORMAT = 1
-MAX_CLOCK_SKEW_S = 5.0  # the clock may be set back between the processes
-MAX_BYTES = 256 * 1024  # beyond it the journal is rewritten with its last MAX_CHANGES_AFTER_REWRITE changes
+MAX_CLOCK_SKEW_S = 5.0  # the clock may have been set back between two processes
+MAX_BYTES = 256 * 1024  # a larger journal is rewritten with its last MAX_CHANGES_AFTER_REWRITE changes
 MAX_CHANGES_AFTER_REWRITE = 200
 HEARTBEAT_S = 2.0
 CHECKSUM_DIGITS = 8
 
 
 class JournalRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A change of level, or a heartbeat; stored under the names of the first release.
+    """A change of level, or a heartbeat; the stored names must not change, so that old journals can be read.
 
     Attributes:
-        level: The level in force from then on.
-        recorded_s: When the record was written, in Unix seconds.
-        since_s: When the level was entered, in Unix seconds.
-        old: The level before; empty in a heartbeat.
-        cause: Why it changed; empty in a heartbeat.
-        is_heartbeat: Whether nothing has changed.
-        readings: The known signals at the change.
+        level: The level in force.
+        recorded_s: Time at which the record was written, in Unix seconds.
+        since_s: Time at which the level was entered, in Unix seconds.
+        old: The previous level; empty in a heartbeat.
+        cause: The reason for the change; empty in a heartbeat.
+        is_heartbeat: Whether the record is a heartbeat, which records no change.
+        readings: The known signals at the time of the change.
     """
 
     level: str
@@ -53,12 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Journal:
-    """What could be read of a journal.
+    """The decoded content of a journal.
 
     Attributes:
         records: The valid records, oldest first.
-        corrupt_lines: How many lines were skipped.
-        newer_records: How many records are of a newer format.
+        corrupt_lines: Number of truncated or corrupt lines, which were skipped.
+        newer_records: Number of records of a newer format, which were skipped.
     """
 
     records: tuple[JournalRecord, ...]
@@ -68,13 +68,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredLevel:
-    """The level that a restart begins with.
+    """The level at which a process starts.
 
     Attributes:
-        rank: 0 for normal.
-        since_s: When it was entered, in Unix seconds.
-        is_known: Whether the journal said so; otherwise the level is normal by default.
-        reason: For the log.
+        rank: Rank of the level; 0 is normal.
+        since_s: Time at which it was entered, in Unix seconds.
+        is_known: Whether it comes from the journal; otherwise it is normal by default.
+        reason: The reason for this level, for the log.
     """
 
     rank: int
@@ -84,7 +84,7 @@
 
 
 def encode_record(record: JournalRecord) -> bytes:
-    """Returns the line of a record."""
+    """Encodes a record as a line of the journal."""
     body = json.dumps({"format": FORMAT, **record_fields(record)}, separators=(",", ":")).encode()
     return b"%08x %s\n" % (crc32(body), body)
 
@@ -96,7 +96,7 @@
 
 
 def decode_journal(raw: bytes) -> Journal:
-    """Reads a journal, skipping what is corrupt."""
+    """Decodes a journal, skipping truncated and corrupt lines and records of a newer format."""
     records: list[JournalRecord] = []
     corrupt_lines = 0
     newer_records = 0
@@ -118,31 +118,32 @@
 def restore_level(
     journal: Journal, level_names: Sequence[str], now_s: float, restore_within_s: float
 ) -> RestoredLevel:
-    """Returns the level that a restart at a time begins with.
+    """Returns the level at which a process starts.
 
     Args:
-        journal: The journal.
+        journal: The decoded journal.
         level_names: Names of the levels by rank, normal first.
-        now_s: Unix seconds.
-        restore_within_s: Age of a record up to which its level is restored; 0 for any age.
+        now_s: Current time in Unix seconds.
+        restore_within_s: A record younger than this restores its level; each further period of this length
+            lowers the level by one. With 0, every record restores normal.
     """
     if not journal.records:
         unreadable = journal.corrupt_lines or journal.newer_records
-        reason = "the journal can't be read" if unreadable else "there is no journal"
+        reason = "no line of the journal can be used" if unreadable else "there is no journal"
         return RestoredLevel(0, now_s, False, reason)
     last = journal.records[-1]
     age_s = now_s - last.recorded_s
     if age_s < -MAX_CLOCK_SKEW_S:
-        return RestoredLevel(0, now_s, False, f"the last record is {-age_s:.0f} s in the future")
+        return RestoredLevel(0, now_s, False, f"the last record is dated {-age_s:.0f} s in the future")
     if last.level not in level_names:
-        return RestoredLevel(0, now_s, False, f"{last.level!r} is no more in the file")
+        return RestoredLevel(0, now_s, False, f"the level {last.level!r} is no longer defined")
     age_s = max(0.0, age_s)
     rank = level_names.index(last.level)
     steps_down = int(age_s // restore_within_s) if restore_within_s > 0 else rank
     restored_rank = max(0, rank - steps_down)
     reason = f"{last.level} was in force {age_s:.1f} s ago"
     if restored_rank != rank:
-        reason += f", aged to {level_names[restored_rank]}"
+        reason += f", lowered to {level_names[restored_rank]} because of its age"
     return RestoredLevel(restored_rank, min(last.since_s, now_s), True, reason)
 
 
@@ -152,10 +153,10 @@
 
 
 def _decode_record(line: bytes) -> JournalRecord | None:
-    """Returns the record, None if its format is newer.
+    """Decodes a line; returns None if its format is newer.
 
     Raises:
-        InvalidJournalLineError: The line is truncated, corrupt or of another shape.
+        InvalidJournalLineError: The line is truncated, corrupt or no valid record.
     """
     checksum, _, body = line.partition(b" ")
     try:
--- a/violetstack/load_shedding/levels.py
+++ b/violetstack/load_shedding/levels.py
@@ -1,4 +1,4 @@
-"""The levels of reduced service as the operator's file defines them."""
+"""The levels of reduced service that the operator's file defines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DemandLimit(NamedTuple):
-    """The most of its demand that is admitted of one class and tenant; an empty name means any."""
+    """The largest share of the demand of a class and tenant that is admitted; an empty name matches all."""
 
     class_name: str
     tenant: str
@@ -20,16 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelActions:
-    """What a level does. Shares are parts of one; None leaves a matter to the settings.
+    """The restrictions of a level. Shares are between 0 and 1; None is no restriction.
 
     Attributes:
-        admitted_share: Of the work that the tier has shown it can do.
+        admitted_share: Share of the tier's estimated capacity that is admitted.
         min_class_weight: Requests of classes with a smaller weight are shed; the heaviest class has 1.
-        enforce_quotas: Whether tenants are held to their quotas even where capacity is left.
-        max_prompt_tokens: Longer prompts are shed.
-        retry_share: Retries and hedges as a part of requests; 0 allows none.
-        reserve_ahead: Whether decode slots are reserved during prefill.
-        retry_after_ms: Least advice to clients whose request is shed.
+        enforce_quotas: Whether tenants are limited to their quotas even if capacity is left.
+        max_prompt_tokens: Requests with longer prompts are shed.
+        retry_share: Limit of retries and hedged requests as a share of requests; 0 allows none.
+        reserve_ahead: Whether decode slots may be reserved during prefill.
+        retry_after_ms: Shortest Retry-After time of shed requests.
         demand_limits: Limits for single classes and tenants.
     """
 
@@ -45,17 +45,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelSpec:
-    """One level.
+    """The definition of one level.
 
     Attributes:
-        name: Unique, and not `NORMAL`.
-        enter: Condition of entering it from any lower level.
-        leave: Condition of leaving it for the next lower one.
-        enter_after_ms: How long `enter` has to hold.
-        leave_after_ms: How long `leave` has to hold.
-        min_duration_ms: How long the level is kept at least.
-        actions: What the level does.
-        where: Place in the operator's file.
+        name: Unique name, other than `NORMAL`.
+        enter: Condition for entering the level from any lower level.
+        leave: Condition for leaving it for the next lower level.
+        enter_after_ms: Time for which `enter` has to hold.
+        leave_after_ms: Time for which `leave` has to hold.
+        min_duration_ms: Shortest time for which the level stays in force.
+        actions: The restrictions of the level.
+        where: Position in the operator's file, for messages.
     """
 
     name: str
@@ -70,16 +70,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelPlan:
-    """Everything that a checked file says of levels; false without a level.
+    """The load shedding configuration of a checked operator's file; false if it defines no levels.
 
     Attributes:
         specs: The levels, mildest first.
-        max_changes_per_minute: Beyond it no level is left.
-        journal_path: Where changes are recorded for a restart; empty for nowhere.
-        restore_within_s: A restart restores a level whose record is no older.
-        socket_path: Where `violetstack level` connects; empty for nowhere.
-        pinned_level: Level to pin; empty for none.
-        pin_duration_ms: For how long.
+        max_changes_per_minute: After this many changes within a minute, no level is left.
+        journal_path: File in which changes are recorded for a restart; empty for none.
+        restore_within_s: A restart restores a level whose record is younger than this; see `journal`.
+        socket_path: Unix socket for `violetstack level`; empty for none.
+        pinned_level: Level to pin at the start; empty for none.
+        pin_duration_ms: Duration of that pin.
     """
 
     specs: tuple[LevelSpec, ...] = ()
--- a/violetstack/load_shedding/load_shedder.py
+++ b/violetstack/load_shedding/load_shedder.py
@@ -1,4 +1,4 @@
-"""The load shedder behind the core's port: events in, admissions out, one tick four times a second."""
+"""The load shedder, which implements the core's port: records events and admits or sheds requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def admission_weights(
     settings: Settings, class_names: Sequence[str], tenant_names: Sequence[str]
 ) -> AdmissionWeights:
-    """Returns the weights and quotas of the settings, in parts of the heaviest class."""
+    """Returns the class weights of the settings, relative to the heaviest class, and the tenant quotas."""
     heaviest = max((spec.priority_weight for spec in settings.classes), default=1.0) or 1.0
     quotas = tuple(spec.quota_share for spec in settings.tenants)
     return AdmissionWeights(
@@ -36,17 +36,19 @@
 
 
 class LoadShedder:
-    """Admits requests under the level in force. `now` is milliseconds, `wall_s` Unix seconds.
+    """Admits or sheds requests under the level in force.
+
+    In its methods `now` is a time in milliseconds and `wall_s` the same time in Unix seconds.
 
     Attributes:
-        plan: What the operator's file says.
-        state_machine: Which level is in force.
-        signals: What it goes by.
-        admission: Who is served.
+        plan: The configuration of the operator's file.
+        state_machine: Decides which level is in force.
+        signals: The signals that its conditions compare.
+        admission: Decides which requests are admitted.
     """
 
     def __init__(self, plan: LevelPlan, weights: AdmissionWeights, log: Callable[..., None]) -> None:
-        """Takes the levels, the classes and tenants, and a log function of an event name and its fields."""
+        """Starts at level normal; `log` is called with an event name and the event's fields."""
         self.plan = plan
         self.state_machine = LevelStateMachine(plan.specs, plan.max_changes_per_minute)
         self.signals = Signals()
@@ -65,7 +67,7 @@
         return self.state_machine.specs[rank - 1].actions if rank else NORMAL_ACTIONS
 
     def take_records(self) -> list[JournalRecord]:
-        """Returns the records to be written to the journal since the last call."""
+        """Returns the journal records that were created since the last call."""
         records = self._unwritten_records
         self._unwritten_records = []
         return records
@@ -73,7 +75,7 @@
     # --- start, reload and pins ---
 
     def start(self, now: float, wall_s: float, restored: RestoredLevel) -> None:
-        """Starts at the level that the journal says, or the file pins."""
+        """Starts at the restored level, or at the level that the operator's file pins."""
         since_ms = now - (wall_s - restored.since_s) * 1000.0
         self.state_machine.start(now, restored.rank, since_ms, cautious=not restored.is_known)
         self._since_s = restored.since_s
@@ -83,7 +85,7 @@
         self._pin_as_planned(now, wall_s)
 
     def reload(self, now: float, wall_s: float, plan: LevelPlan) -> None:
-        """Takes the levels of a new file."""
+        """Applies the levels of a reloaded operator's file."""
         old = self.plan
         self.plan = plan
         specs = plan.specs
@@ -94,7 +96,7 @@
             self._pin_as_planned(now, wall_s)
 
     def pin(self, now: float, wall_s: float, level: str, duration_ms: float, by: str) -> None:
-        """Keeps a level in force for a time, whatever the signals are.
+        """Puts a level in force for a time, whatever the signals are.
 
         Raises:
             UnknownLevelError: There is no such level.
@@ -104,7 +106,7 @@
         self._changed(now, wall_s, self.state_machine.set_pin(now, Pin(level, now + duration_ms, by)))
 
     def unpin(self) -> None:
-        """Lets the signals decide again."""
+        """Ends the pin, so that the signals determine the level again."""
         self.state_machine.pin = None
         self._log("level_unpinned", level=self.state_machine.name)
 
@@ -116,7 +118,7 @@
     # --- the core's port ---
 
     def admit(self, now: float, request: Request) -> Shed | None:
-        """Returns None to admit a request, whose route is then limited, otherwise why it is shed."""
+        """Admits a request, limits its route and returns None; or returns the reason for shedding it."""
         class_index = request.class_index
         tenant_index = request.tenant_index
         prompt_tokens = request.prompt_tokens
@@ -139,7 +141,7 @@
         return None
 
     def stream_started(self, now: float, objective_ratio: float, prompt_tokens: float) -> None:
-        """Records a first token, after `objective_ratio` times the request's latency objective."""
+        """Records a first token; `objective_ratio` is the time to it over the request's latency objective."""
         self.signals.stream_started(now, objective_ratio)
         self.admission.record_started(now, prompt_tokens, objective_ratio)
 
@@ -156,7 +158,7 @@
         return self.actions.reserve_ahead
 
     def take_retry(self, now: float) -> bool:
-        """Takes one attempt from the level's retry budget; returns whether there was one."""
+        """Takes one attempt from the level's retry budget; returns False if the budget is exhausted."""
         return self._retry_budget is None or self._retry_budget.try_spend(now)
 
     # --- time ---
@@ -169,14 +171,14 @@
         endpoints: EndpointCounts,
         waiting: Iterable[float],
     ) -> None:
-        """Updates the signals, the level and the shares.
+        """Updates the signals, the level and the shares; called every `TICK_MS`.
 
         Args:
-            now: Milliseconds of the caller's clock.
-            wall_s: Unix seconds.
-            gauges: Samples by signal; None where one is not known.
-            endpoints: Sample of the endpoint list.
-            waiting: For each request without a first token, its age over its objective.
+            now: Time in milliseconds.
+            wall_s: The same time in Unix seconds.
+            gauges: Value of each gauge by signal name; None if it is not known.
+            endpoints: Number of endpoints in the endpoint list.
+            waiting: Age of each request without a first token, over its latency objective.
         """
         for name, value in gauges.items():
             self.signals.set_gauge(now, name, value)
@@ -215,7 +217,7 @@
     # --- for operators ---
 
     def status(self, now: float, wall_s: float) -> LevelStatus:
-        """Returns the level in force and what would change it."""
+        """Returns the level in force and the conditions that would change it."""
         machine = self.state_machine
         pin = machine.pin
         return LevelStatus(
--- a/violetstack/load_shedding/signal_conditions.py
+++ b/violetstack/load_shedding/signal_conditions.py
@@ -1,4 +1,4 @@
-"""Conditions over signals: evaluation in three-valued logic, and whether two can hold at once."""
+"""Conditions on signals: evaluation in three-valued logic, and whether two of them can hold at once."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 from violetstack.load_shedding.errors import TooManyRegionsError
 
-# Each signal with the unit of its threshold in a file: a share, or a duration in milliseconds.
+# The signals, each with the unit of its thresholds: a share, or a duration in milliseconds.
 SIGNALS = {
-    "lateness": "share",  # 90th percentile of time to first token over the class's objective; 100% is on time
-    "refused": "share",  # of finished requests: rejected by the policy
-    "failed": "share",  # of finished requests: failed, or cut off after the first event
-    "reader_free": "share",  # freeness of the best prefill host; below 0 when it is behind
-    "writer_free": "share",  # the same of the best decode host
-    "cold": "share",  # of endpoints: those in slow start
-    "gone": "share",  # of the most endpoints seen in the last minute: those that are missing
-    "clients": "share",  # of the client connections that the limits allow
-    "bytes": "share",  # of the request body bytes that the limits allow
-    "lag": "duration",  # how late the event loop of this process wakes
-    "cpu": "share",  # of the processor time that the limits grant
+    "lateness": "share",  # 90th percentile of the time to first token over its objective
+    "refused": "share",  # of finished requests: those rejected by the policy
+    "failed": "share",  # of finished requests: those that failed or were truncated after the first event
+    "reader_free": "share",  # freeness of the best prefill host; negative if its work exceeds its budget
+    "writer_free": "share",  # freeness of the best decode host
+    "cold": "share",  # of the endpoints: those in slow start
+    "gone": "share",  # of the largest number of endpoints in the last minute: those that are no longer listed
+    "clients": "share",  # of the allowed client connections: those that are open
+    "bytes": "share",  # of the allowed bytes of request bodies: those in use
+    "lag": "duration",  # delay with which the event loop of this process wakes up
+    "cpu": "share",  # of the processor time that this process may use: the time it uses
 }
 MAX_REGIONS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Threshold:
-    """One signal against a bound.
+    """Compares one signal with a bound.
 
     Attributes:
         signal: A key of `SIGNALS`.
-        at_least: Whether the value has to reach the bound; otherwise it has to be below it.
-        bound: As a part of one, or in milliseconds.
-        where: Place in the operator's file.
+        at_least: True if the value has to be at least the bound, false if it has to be below it.
+        bound: A share (1 is 100%), or a duration in milliseconds.
+        where: Position in the operator's file, for messages.
     """
 
     signal: str
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Conjunction:
-    """Holds if every part does."""
+    """Holds if all parts hold."""
 
     parts: tuple[SignalCondition, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Disjunction:
-    """Holds if at least one part does."""
+    """Holds if at least one part holds."""
 
     parts: tuple[SignalCondition, ...]
 
@@ -61,7 +61,7 @@
 
 
 def negate(condition: SignalCondition) -> SignalCondition:
-    """Returns the condition that holds where the given one does not (De Morgan)."""
+    """Returns the negation of a condition, by De Morgan's laws."""
     match condition:
         case Threshold(signal, at_least, bound, where):
             return Threshold(signal, not at_least, bound, where)
@@ -72,7 +72,7 @@
 
 
 def evaluate(condition: SignalCondition, values: Mapping[str, float | None]) -> bool | None:
-    """Returns whether a condition holds, None where that depends on an unknown signal (Kleene's logic)."""
+    """Returns whether a condition holds; None if that depends on an unknown signal (Kleene's logic)."""
     match condition:
         case Threshold():
             value = values.get(condition.signal)
@@ -93,7 +93,7 @@
 
 
 def describe(condition: SignalCondition) -> str:
-    """Returns the condition as text of the operator's language."""
+    """Returns the condition in the syntax of the operator's file."""
     if isinstance(condition, Threshold):
         is_share = SIGNALS[condition.signal] == "share"
         bound = f"{condition.bound * 100:g}%" if is_share else f"{condition.bound:g}ms"
@@ -105,18 +105,18 @@
 
 
 class Interval(NamedTuple):
-    """Values from `low` to below `high`."""
+    """The values from `low` up to, but not including, `high`."""
 
     low: float
     high: float
 
 
-Region = dict[str, Interval]  # by signal; a signal that is not named may have any value
+Region = dict[str, Interval]  # interval by signal; other signals may have any value
 ALL_VALUES = Interval(-math.inf, math.inf)
 
 
 def regions(condition: SignalCondition) -> list[Region]:
-    """Returns the regions in which a condition holds (its disjunctive normal form); none if it never can.
+    """Returns the regions in which a condition holds (its disjunctive normal form); none if it never holds.
 
     Raises:
         TooManyRegionsError: There are more than `MAX_REGIONS`.
@@ -135,7 +135,7 @@
 
 
 def overlap(first: SignalCondition, second: SignalCondition) -> Region | None:
-    """Returns a region in which both conditions hold, None if there is none.
+    """Returns a region in which both conditions hold; None if there is none.
 
     Raises:
         TooManyRegionsError: There are more than `MAX_REGIONS` to compare.
@@ -150,15 +150,15 @@
 
 
 def _intersections(first: list[Region], second: list[Region]) -> list[Region]:
-    met = [_intersection(left, right) for left in first for right in second]
-    return [region for region in met if region is not None]
+    intersections = [_intersection(left, right) for left in first for right in second]
+    return [region for region in intersections if region is not None]
 
 
 def _intersection(first: Region, second: Region) -> Region | None:
-    met = dict(first)
+    intersection = dict(first)
     for signal, interval in second.items():
-        mine = met.get(signal, ALL_VALUES)
-        met[signal] = Interval(max(interval.low, mine.low), min(interval.high, mine.high))
-        if met[signal].low >= met[signal].high:
+        other = intersection.get(signal, ALL_VALUES)
+        intersection[signal] = Interval(max(interval.low, other.low), min(interval.high, other.high))
+        if intersection[signal].low >= intersection[signal].high:
             return None
-    return met
+    return intersection
--- a/violetstack/load_shedding/signals.py
+++ b/violetstack/load_shedding/signals.py
@@ -1,12 +1,12 @@
-"""Signals of overload: a sliding window over request events, and gauges, each with its age and count.
+"""Signals of overload: gauges, and shares and quantiles of request events in a sliding window.
 
-A share or a quantile of fewer than `MIN_EVENTS` events is no reading, so an idle dispatcher does not change
-its level. What a level sheds is not counted as refused: shedding would keep the level up. A request that
-waits past its objective counts as late before it is answered, otherwise a tier that answers nothing would
-look punctual.
+A share or quantile of fewer than `MIN_EVENTS` events is unknown, so an idle dispatcher does not change its
+level because of it. Requests that a level sheds do not count as refused; otherwise shedding would keep the
+level in force. A request that has waited longer than its objective counts as late before its first token;
+otherwise a tier that answers no requests would seem to be on time.
 
-Quantiles come from t-digests (Dunning and Ertl), one for each second of the window; their size is bounded
-for any rate.
+Quantiles are computed from t-digests (Dunning and Ertl), one for each second of the window, whose size is
+bounded at any request rate.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 GAUGE_MAX_AGE_MS = 3_000.0
 QUANTILE = 0.9
 MAX_CENTROIDS = 100
-PEAK_WINDOW_MS = 60_000.0  # `gone` is measured against the most endpoints seen in this time
+PEAK_WINDOW_MS = 60_000.0  # `gone` is relative to the largest number of endpoints in this time
 COUNTED_OUTCOMES = (
     RequestOutcome.COMPLETED,
     RequestOutcome.REJECTED,
@@ -36,12 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """The value of a signal.
+    """The value of a signal at one time.
 
     Attributes:
-        value: None where too little is known.
-        count: Events that it is computed from.
-        age_ms: Time since the last of them.
+        value: The value; None if it is unknown.
+        count: Number of events or samples that the value is computed from.
+        age_ms: Time since the last of these.
     """
 
     value: float | None
@@ -50,7 +50,7 @@
 
 
 class EndpointCounts(NamedTuple):
-    """How many endpoints are listed, and how many of them are in slow start."""
+    """Number of listed endpoints, and of those in slow start."""
 
     listed: int
     in_slow_start: int
@@ -67,42 +67,42 @@
 
 
 class SlidingWindow:
-    """Outcome counts and a digest of lateness for each of the last `WINDOW_SLOTS` seconds.
+    """Counts of outcomes and a digest of lateness for each of the last `WINDOW_SLOTS` seconds.
 
     Attributes:
-        outcomes: By slot, how often each outcome occurred.
-        lateness: By slot, time to first token over its objective.
+        outcomes: Number of requests with each outcome, by slot.
+        lateness: Digest of the times to first token over their objectives, by slot.
         last_event_ms: Time of the last event; negative before the first.
     """
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty window."""
         self.outcomes: list[dict[RequestOutcome, int]] = [{} for _ in range(WINDOW_SLOTS)]
         self.lateness = [_new_digest() for _ in range(WINDOW_SLOTS)]
         self.last_event_ms = -1.0
         self._latest_slot = 0
 
     def slot_at(self, now: float) -> int:
-        """Returns the index of the slot of a time, after clearing the slots that time has passed into."""
+        """Returns the index of the slot for a time, after clearing the slots that begin by then."""
         slot = int(now // SLOT_MS)
-        for passed in range(max(self._latest_slot + 1, slot - WINDOW_SLOTS + 1), slot + 1):
-            self.outcomes[passed % WINDOW_SLOTS] = {}
-            self.lateness[passed % WINDOW_SLOTS] = _new_digest()
+        for new_slot in range(max(self._latest_slot + 1, slot - WINDOW_SLOTS + 1), slot + 1):
+            self.outcomes[new_slot % WINDOW_SLOTS] = {}
+            self.lateness[new_slot % WINDOW_SLOTS] = _new_digest()
         self._latest_slot = max(self._latest_slot, slot)
         return self._latest_slot % WINDOW_SLOTS
 
 
 class Signals:
-    """The signals of one dispatcher: the core reports events, the driver samples gauges before each tick."""
+    """The signals of one dispatcher: events from the core, and gauges that are sampled before each tick."""
 
     def __init__(self) -> None:
-        """Starts with nothing known."""
+        """Creates signals without events and samples."""
         self.window = SlidingWindow()
         self._gauges: dict[str, _Gauge] = {}
-        self._listed_peaks: list[_ListedAt] = []  # each followed by smaller counts only
+        self._listed_peaks: list[_ListedAt] = []  # in the order of time; the counts decrease
 
     def stream_started(self, now: float, lateness: float) -> None:
-        """Records a first token; `lateness` is the time to it over its objective."""
+        """Records a first token; `lateness` is the time to the first token over its objective."""
         slot = self.window.slot_at(now)
         self.window.lateness[slot].update(lateness)
         self.window.last_event_ms = now
@@ -115,27 +115,27 @@
             self.window.last_event_ms = now
 
     def set_gauge(self, now: float, name: str, value: float | None) -> None:
-        """Records a sample of a gauge; None leaves the last one to age."""
+        """Records a sample of a gauge; None keeps the previous sample, which becomes unknown with age."""
         if value is not None:
             self._gauges[name] = _Gauge(value, now)
 
     def set_endpoint_counts(self, now: float, counts: EndpointCounts) -> None:
-        """Records a sample of the endpoint list: the gauges `gone` and `cold`."""
+        """Updates the gauges `gone` and `cold` from the number of endpoints."""
         oldest = now - PEAK_WINDOW_MS
         larger = [peak for peak in self._listed_peaks if peak.at_ms > oldest and peak.listed > counts.listed]
         self._listed_peaks = [*larger, _ListedAt(now, counts.listed)]
-        most = self._listed_peaks[0].listed
-        if most:
-            self.set_gauge(now, "gone", 1.0 - counts.listed / most)
+        peak_count = self._listed_peaks[0].listed
+        if peak_count:
+            self.set_gauge(now, "gone", 1.0 - counts.listed / peak_count)
         if counts.listed:
             self.set_gauge(now, "cold", counts.in_slow_start / counts.listed)
 
     def readings(self, now: float, waiting: Iterable[float] = ()) -> dict[str, Reading]:
-        """Returns all signals.
+        """Returns the readings of all signals, by name.
 
         Args:
-            now: Milliseconds of the caller's clock.
-            waiting: For each request without a first token, its age over its objective.
+            now: Time in milliseconds.
+            waiting: Age of each request without a first token, over its latency objective.
         """
         self.window.slot_at(now)
         age_ms = now - self.window.last_event_ms if self.window.last_event_ms >= 0 else 0.0
--- a/violetstack/load_shedding/state_machine.py
+++ b/violetstack/load_shedding/state_machine.py
@@ -1,16 +1,19 @@
-"""The state machine that moves between levels. All times are milliseconds and passed in.
-
-Levels are ordered as in the file; before the first is `normal`, which has no conditions. What moves:
-
-    up     a level's `enter` has held for `enter_after`: it is entered, from any lower one, several at a time
-    down   the current level's `leave` has held for `leave_after`, and the level lasted `stay`: one down
-    pin    the pinned level is in force until the pin expires, whatever the signals are
-
-An `enter` that depends on unknown signals does not hold. A `leave` that does holds only after its unknown
-signals have been unknown for `IDLE_MS`: a dispatcher without traffic has nothing to shed. A level that is
-entered again within `FLAP_WINDOW_MS` of being left doubles its `leave_after`, up to `MAX_DOUBLINGS` times.
-Beyond the most changes in a minute no level is left; entering is never held back, and each entry needs a
-descent before it.
+"""The state machine that enters and leaves levels. All times are in milliseconds and are passed in.
+
+The levels have the order of the operator's file. Below the first is `normal`, which has no conditions. The
+level changes as follows:
+
+    up     A level is entered from any lower level once its `enter` has held for `enter_after`. This may skip
+           levels.
+    down   The level in force is left for the next lower level once its `leave` has held for `leave_after` and
+           the level has been in force for `stay`.
+    pin    The pinned level is in force until the pin expires, whatever the signals are.
+
+An `enter` condition that depends on unknown signals does not hold. A `leave` condition that does holds only
+after these signals have been unknown for `IDLE_MS`, since a dispatcher without traffic has nothing to shed.
+Each time a level is entered within `FLAP_WINDOW_MS` of being left, its `leave_after` doubles, up to
+`MAX_DOUBLINGS` times. After the largest number of changes in a minute, no level is left. Entering a level is
+never delayed; this bounds the changes too, since a level has to be left before it can be entered again.
 """
 
 from __future__ import annotations
@@ -29,15 +32,15 @@
 FLAP_WINDOW_MS = 60_000.0
 MAX_DOUBLINGS = 3
 MINUTE_MS = 60_000.0
-CAUTIOUS_MS = 30_000.0  # after a start without a known level, levels are entered sooner for so long
+CAUTIOUS_MS = 30_000.0  # for this long after a start without a known level, levels are entered sooner
 CAUTIOUS_ENTER_FACTOR = 0.25
-SETTLE_MS = 10_000.0  # a level that was restored or pinned is kept at least so long, to gather evidence
+SETTLE_MS = 10_000.0  # a level is not left for this long after a restart or a pin, until signals are known
 READING_DIGITS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Pin:
-    """A level that an operator keeps in force until a time, with who asked for it."""
+    """A level that an operator (`by`) has put in force until a time."""
 
     level: str
     until_ms: float
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelChange:
-    """One change of level, with its cause and the known signals at that moment."""
+    """A change of level, with its cause and the known signals at that time."""
 
     old: str
     new: str
@@ -55,22 +58,22 @@
 
 
 class SignalDistance(msgspec.Struct, frozen=True):
-    """The value of a signal beside the bound that it is compared with."""
+    """The value of a signal and the bound with which it is compared."""
 
     value: float | None
     bound: float
 
 
 class Transition(msgspec.Struct, frozen=True):
-    """A change of level that is possible now. The JSON names are those of `violetstack level show --json`.
+    """A possible change from the level in force, as `violetstack level show --json` prints it.
 
     Attributes:
-        level: The level to be entered or left.
+        level: The level that would be entered or left.
         action: `enter` or `leave`.
-        condition: As text.
-        holds: Whether the condition holds; None if it is not known.
-        held_for_s: For how long it has held.
-        signals: The signals in the condition.
+        condition: The condition of the change, in the syntax of the operator's file.
+        holds: Whether the condition holds; None if that is unknown.
+        held_for_s: Time for which it has held; None if it does not hold.
+        signals: The signals in the condition, by name.
     """
 
     level: str
@@ -86,15 +89,15 @@
 
     Attributes:
         specs: The levels, mildest first.
-        max_changes_per_minute: Beyond it no level is left.
-        rank: The level in force: 0 is normal, n the n-th of `specs`.
-        since_ms: When it was entered.
-        pin: The pin in force.
-        cautious_until_ms: Until when levels are entered sooner.
+        max_changes_per_minute: After this many changes within a minute, no level is left.
+        rank: Rank of the level in force: 0 is normal, n is the n-th of `specs`.
+        since_ms: Time at which it was entered.
+        pin: The pin in force; None without one.
+        cautious_until_ms: Time until which levels are entered sooner.
     """
 
     def __init__(self, specs: Sequence[LevelSpec], max_changes_per_minute: int = 6) -> None:
-        """Starts at normal."""
+        """Creates a state machine at level normal."""
         self.specs = tuple(specs)
         self.max_changes_per_minute = max_changes_per_minute
         self.rank = 0
@@ -105,27 +108,27 @@
         self._leave_held_since: float | None = None  # of the level in force
         self._signal_known_at: dict[str, float] = {}  # by signal
         self._left_at: dict[str, float] = {}  # by level
-        self._flap_counts: dict[str, int] = {}  # by level: entries in a row soon after it was left
-        self._changed_at: list[float] = []  # within the last minute
+        self._flap_counts: dict[str, int] = {}  # by level: entries in a row soon after leaving it
+        self._changed_at: list[float] = []  # times within the last minute
         self._started_ms = 0.0
         self._no_descent_before_ms = 0.0
 
     @property
     def name(self) -> str:
-        """Name of the level in force."""
+        """The name of the level in force."""
         return self.name_of(self.rank)
 
     @property
     def names(self) -> list[str]:
-        """Names of all levels by rank, normal first."""
+        """The names of all levels by rank, normal first."""
         return [NORMAL, *(spec.name for spec in self.specs)]
 
     def name_of(self, rank: int) -> str:
-        """Returns the name of a level."""
+        """Returns the name of the level with a rank."""
         return NORMAL if rank == 0 else self.specs[rank - 1].name
 
     def rank_of(self, name: str) -> int:
-        """Returns the rank of a level.
+        """Returns the rank of the level with a name.
 
         Raises:
             UnknownLevelError: There is no such level.
@@ -136,7 +139,7 @@
             raise UnknownLevelError(name) from None
 
     def start(self, now: float, rank: int, since_ms: float, *, cautious: bool = False) -> None:
-        """Starts at a restored level, or at normal and `cautious` if no level is known."""
+        """Starts at a restored level; `cautious` if the level is unknown and normal is assumed."""
         self.rank = min(rank, len(self.specs))
         self.since_ms = since_ms
         self._started_ms = now
@@ -146,10 +149,10 @@
     def replace_specs(
         self, specs: Sequence[LevelSpec], max_changes_per_minute: int, now: float
     ) -> LevelChange | None:
-        """Takes the levels of a new file; returns the change if the level in force is no longer defined.
+        """Replaces the levels; returns the change of level if the one in force is no longer defined.
 
-        The next lower level that is still defined replaces it, so that a renamed level does not end in normal
-        if there is another.
+        In this case the next lower level that is still defined is put in force, so that removing or renaming
+        a level does not lead straight to normal if a level between them remains.
         """
         old = self.name
         lower_names = [self.name_of(rank) for rank in range(self.rank, -1, -1)]
@@ -166,10 +169,10 @@
         return self._change(now, self.rank, f"{old} is no more in the file", {}, old=old)
 
     def set_pin(self, now: float, pin: Pin) -> LevelChange | None:
-        """Pins a level; returns the change if it was not in force.
+        """Pins a level; returns the change of level if another one was in force.
 
         Raises:
-            UnknownLevelError: There is no such level; nothing has changed.
+            UnknownLevelError: There is no such level. The state is unchanged.
         """
         rank = self.rank_of(pin.level)
         self.pin = pin
@@ -178,7 +181,7 @@
         return self._change(now, rank, f"pinned by {pin.by}", {})
 
     def tick(self, now: float, readings: Mapping[str, Reading]) -> LevelChange | None:
-        """Takes the signals as they are now; returns the change of level that follows, if any."""
+        """Evaluates the current signals; returns the resulting change of level, None without one."""
         values = {name: reading.value for name, reading in readings.items()}
         self._observe(now, values)
         if self.pin is not None:
@@ -189,19 +192,19 @@
         return self._ascend(now, values) or self._descend(now, values)
 
     def transitions(self, now: float, readings: Mapping[str, Reading]) -> list[Transition]:
-        """Returns the changes of level that are possible from here."""
+        """Returns the possible changes from the level in force: leaving it, or entering a higher one."""
         values = {name: reading.value for name, reading in readings.items()}
         found: list[Transition] = []
         for rank, spec in enumerate(self.specs, 1):
             if rank < self.rank:
                 continue
-            leaves = rank == self.rank
-            condition = spec.leave if leaves else spec.enter
-            since = self._leave_held_since if leaves else self._enter_held_since.get(spec.name)
+            is_current = rank == self.rank
+            condition = spec.leave if is_current else spec.enter
+            since = self._leave_held_since if is_current else self._enter_held_since.get(spec.name)
             found.append(
                 Transition(
                     level=spec.name,
-                    action="leave" if leaves else "enter",
+                    action="leave" if is_current else "enter",
                     condition=describe(condition),
                     holds=evaluate(condition, values),
                     held_for_s=None if since is None else round((now - since) / 1000, 1),
@@ -216,7 +219,7 @@
     # --- conditions ---
 
     def _observe(self, now: float, values: Mapping[str, float | None]) -> None:
-        """Notes since when each condition has held."""
+        """Records the time since which each condition has held."""
         for name, value in values.items():
             if value is not None:
                 self._signal_known_at[name] = now
@@ -242,20 +245,20 @@
     # --- changes ---
 
     def _ascend(self, now: float, values: Mapping[str, float | None]) -> LevelChange | None:
-        """Enters the highest level whose condition has held for long enough."""
+        """Enters the highest level whose condition has held for its `enter_after`."""
         factor = CAUTIOUS_ENTER_FACTOR if now < self.cautious_until_ms else 1.0
         for rank in range(len(self.specs), self.rank, -1):
             spec = self.specs[rank - 1]
             since = self._enter_held_since.get(spec.name)
             if since is not None and now - since >= spec.enter_after_ms * factor:
-                flaps = now < self._left_at.get(spec.name, -FLAP_WINDOW_MS) + FLAP_WINDOW_MS
-                self._flap_counts[spec.name] = self._flap_counts.get(spec.name, 0) + 1 if flaps else 0
+                is_flapping = now < self._left_at.get(spec.name, -FLAP_WINDOW_MS) + FLAP_WINDOW_MS
+                self._flap_counts[spec.name] = self._flap_counts.get(spec.name, 0) + 1 if is_flapping else 0
                 cause = f"{describe(spec.enter)} for {(now - since) / 1000:g} s ({spec.where})"
                 return self._change(now, rank, cause, values)
         return None
 
     def _descend(self, now: float, values: Mapping[str, float | None]) -> LevelChange | None:
-        """Leaves the level in force for the next lower one if it is time."""
+        """Leaves the level in force for the next lower one if all conditions for that are met."""
         since = self._leave_held_since
         if self.rank == 0 or since is None or now < self._no_descent_before_ms:
             return None
@@ -273,7 +276,7 @@
         return float(spec.leave_after_ms * 2.0**doublings)
 
     def _changes_within_minute(self, now: float) -> list[float]:
-        return [at for at in self._changed_at if at > now - MINUTE_MS]
+        return [changed_ms for changed_ms in self._changed_at if changed_ms > now - MINUTE_MS]
 
     def _change(
         self, now: float, rank: int, cause: str, values: Mapping[str, float | None], old: str | None = None
--- a/violetstack/load_shedding/status.py
+++ b/violetstack/load_shedding/status.py
@@ -1,4 +1,4 @@
-"""What `violetstack level show` prints; the JSON names are those of its `--json` output."""
+"""The status that `violetstack level show` prints; the JSON names are those of its `--json` output."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class PinStatus(msgspec.Struct, frozen=True):
-    """The pin in force: who asked for it, and for how long it will last."""
+    """The pin in force: the operator who set it, and the time until it expires."""
 
     by: str
     remaining_s: int = msgspec.field(name="for_s")
 
 
 class SignalStatus(msgspec.Struct, frozen=True):
-    """A signal with the number of events that it is computed from, and its age."""
+    """The value of a signal, the number of events that it is computed from, and its age."""
 
     value: float | None
     count: int
@@ -23,18 +23,18 @@
 
 
 class LevelStatus(msgspec.Struct, frozen=True):
-    """The level in force and what would change it.
+    """The level in force and the conditions that would change it.
 
     Attributes:
-        level: Its name.
+        level: Name of the level in force.
         levels: Names of all levels, normal first.
-        since_s: When it was entered, in Unix seconds.
-        duration_s: How long ago that was.
-        pin: The pin in force.
-        cautious_for_s: For how long levels will be entered sooner.
-        shed_count: Requests shed since the start.
-        signals: All signals.
-        transitions: The changes of level that are possible now.
+        since_s: Time at which the level was entered, in Unix seconds.
+        duration_s: Time for which it has been in force.
+        pin: The pin in force; None without one.
+        cautious_for_s: Time for which levels are still entered sooner, after a start without a known level.
+        shed_count: Number of requests shed since the start.
+        signals: The values of all signals, by name.
+        transitions: The possible changes of level.
     """
 
     level: str
