--- a/violetstack/daemon/hot_restart.py
+++ b/violetstack/daemon/hot_restart.py
@@ -44,7 +44,7 @@
             config: The configuration of this process.
             directory: The directory that the processes of this dispatcher share.
             lifecycle: Tells whether this process accepts requests.
-            cordons: The cordons to write into the record.
+            cordons: The cordons, which the processes of this dispatcher exchange in their records.
             endpoints: The endpoint list to write into the record.
             capture_learned_state: Returns the policy's current estimates.
             on_siblings_changed: Called when another process of this dispatcher has started or ended.
--- a/violetstack/daemon/shutdown.py
+++ b/violetstack/daemon/shutdown.py
@@ -38,8 +38,8 @@
 
     New connections are accepted until `ShutdownSchedule.stop_accepting_s`, or until a successor accepts them.
     Responses carry `Connection: close` (RFC 9112, section 9.6), and idle connections are closed. Connections
-    that have not sent a request yet are still read: until `reject_s` their requests are served, after it
-    rejected.
+    that have not sent a request yet are still read; their requests are served until `reject_s` and rejected
+    from then on.
     """
 
     def __init__(
@@ -108,8 +108,8 @@
     def _run_due_steps(self) -> bool:
         """Performs the steps that are due and returns whether nothing is left to do.
 
-        The time of SIGKILL is reckoned from the earliest time at which SIGTERM can have arrived. The time
-        until which clients may open new connections is reckoned from when SIGTERM was handled, the latest.
+        Steps that must precede SIGKILL are timed from the earliest time at which SIGTERM can have arrived.
+        The end of accepting connections is timed from the latest, when SIGTERM was handled.
         """
         schedule = self._schedule
         elapsed_s = (now_ms() - self._signal.earliest_arrival_ms) / 1000.0
@@ -167,7 +167,7 @@
 
 
 def _close_silent_connections(table: ConnectionTable) -> None:
-    """Closes connections that have not sent a request or only part of one; a partial request is answered 503.
+    """Closes connections without a request or with only part of one; a partial request is answered 503.
 
     A request that arrived now could not be answered before SIGKILL.
     """
@@ -178,7 +178,7 @@
 
 
 def _discard_gossip(_payload: bytes) -> None:
-    """Replaces the sending of gossip.
+    """Sends no gossip; replaces the transport's `broadcast` once there is a successor.
 
     The successor sends from the same address, and receivers would replace its data with this process's.
     """
