--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -11,7 +11,7 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from tests.test_program import start
+from tests.test_program import start_program
 from violetstack import log
 from violetstack.commands.main import main
 from violetstack.rehearsal.stage import SETTINGS
@@ -195,7 +195,7 @@
     code = f"import sys, violetstack.__main__; print([m for m in {heavy} if m in sys.modules])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
-    with start(tmp_path, {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS}) as program:
+    with start_program(tmp_path, {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS}) as program:
         assert program.stdout is not None
         for line in program.stdout:
             if json.loads(line)["event"] == "started":
--- a/tests/test_connection_life.py
+++ b/tests/test_connection_life.py
@@ -13,7 +13,7 @@
 
 from tests.process_time import wait_until
 from tests.race_helpers import send_request
-from tests.test_shutdown_deadlines import settings_with_timeout, stop_as_if_asked
+from tests.test_shutdown_deadlines import settings_with_timeout, stop_as_if_signaled
 from tests.test_stories import pair
 from violetstack.daemon.shutdown_schedule import ShutdownSchedule
 from violetstack.net.downstream.connection import DownstreamConnection
@@ -189,7 +189,7 @@
             await wait_until(lambda: len(on.daemon.listeners[0].table.connections) == 1)
             await wait_until(lambda: only_connection(on).lifecycle.state is state)
             listener = on.daemon.listeners[0]
-            stop_as_if_asked(on, STEPS[step])
+            stop_as_if_signaled(on, STEPS[step])
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(read_all, call)
                 await trio.sleep(0.06)  # the shutdown checks its clock three times
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -12,7 +12,7 @@
 
 from tests.process_time import wait_until
 from tests.race_helpers import DelayedConnects, send_request
-from tests.test_program import start
+from tests.test_program import start_program
 from tests.test_stories import pair, play
 from violetstack.protocol.http_client import ResponseData, ResponseEnd, ResponseHead
 from violetstack.rehearsal.clients import (
@@ -136,7 +136,7 @@
 
 def test_sigterm_during_startup_shuts_down_in_order(tmp_path: Path) -> None:
     configuration: dict[str, object] = {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS}
-    with start(tmp_path, configuration) as program:
+    with start_program(tmp_path, configuration) as program:
         assert program.stdout is not None
         events = []
         for line in program.stdout:
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,4 +1,4 @@
-"""The log's reader stalls, or its disk is full: requests are answered all the same."""
+"""Requests are answered even if the reader of the log stalls or its disk is full."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 PIPE_BYTES = 4096
 REQUESTS = 60
-"""Their lines are several times what the pipe holds."""
+"""Their log lines exceed the capacity of the pipe several times."""
 ANSWER_TIMEOUT_S = 3.0
 INVALID_CONFIGURATION = 2
 UNREACHABLE = [
@@ -33,21 +33,21 @@
 
 
 class PipedProgram:
-    """One dispatcher's process whose standard output is a small pipe that the test reads when it likes."""
+    """A dispatcher process whose standard output is a small pipe, which the test reads when needed."""
 
     def __init__(self, folder: Path) -> None:
-        node = {
+        node_config = {
             "listen": "127.0.0.1:0",
             "settings": SETTINGS,
             "known": {"version": 1, "full": True, "servers": UNREACHABLE},
         }
-        file = folder / "config.json"
-        file.write_text(json.dumps(node))
+        config_file = folder / "config.json"
+        config_file.write_text(json.dumps(node_config))
         self._read_end, write_end = os.pipe()
         fcntl.fcntl(self._read_end, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
         self.process = subprocess.Popen(
             [sys.executable, "-m", "violetstack"],
-            env={**os.environ, "NODE_CONFIG": str(file)},
+            env={**os.environ, "NODE_CONFIG": str(config_file)},
             stdout=write_end,
         )
         os.close(write_end)
@@ -56,7 +56,7 @@
         self.platform: Address = (started["platform"][0], started["platform"][1])
 
     def events(self) -> Iterator[dict[str, Any]]:
-        """Lines of the log as they are read; ends when the process has ended."""
+        """Yields the log events from the pipe until the process has ended."""
         while chunk := os.read(self._read_end, PIPE_BYTES):
             *lines, self._unread = (self._unread + chunk).split(b"\n")
             yield from map(json.loads, lines)
@@ -74,8 +74,8 @@
     program.end()
 
 
-async def ask(address: Address, request_id: str) -> bytes:
-    """The answer's first line."""
+async def request_status_line(address: Address, request_id: str) -> bytes:
+    """Sends a request and returns the status line of the response."""
     body = json.dumps({"model": "consulta", "stream": True, "messages": [{"role": "user", "content": "x"}]})
     request = (
         f"POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {request_id}\r\n"
@@ -89,38 +89,42 @@
         return bytes(await stream.receive_some(4096)).split(b"\r\n")[0]
 
 
-def ask_many(address: Address) -> None:
+def send_requests(address: Address) -> None:
     async def main() -> None:
         for number in range(REQUESTS):
             with trio.fail_after(ANSWER_TIMEOUT_S):
-                assert b" 503 " in await ask(address, f"{number:016x}")
+                assert b" 503 " in await request_status_line(address, f"{number:016x}")
 
     trio.run(main)
 
 
-def test_requests_are_answered_while_nobody_reads_the_log(program: PipedProgram) -> None:
-    """The event loop waited for room in the pipe, for good."""
-    ask_many(program.platform)
+def test_requests_are_answered_while_the_log_is_not_read(program: PipedProgram) -> None:
+    """The event loop blocked forever, waiting for space in the pipe."""
+    send_requests(program.platform)
 
 
-def test_a_process_whose_log_nobody_reads_ends_when_it_is_told_to(program: PipedProgram) -> None:
-    ask_many(program.platform)
+def test_sigterm_ends_a_process_whose_log_is_not_read(program: PipedProgram) -> None:
+    send_requests(program.platform)
     program.process.send_signal(signal.SIGTERM)
     assert program.process.wait(timeout=ANSWER_TIMEOUT_S) == 0
 
 
-def test_a_process_without_standard_output_starts_and_ends(tmp_path: Path) -> None:
-    """Its first log line raised an exception."""
-    node = {"listen": "127.0.0.1:0", "settings": SETTINGS, "known": {"version": 1, "full": True}}
-    file = tmp_path / "config.json"
-    file.write_text(json.dumps({**node, "listen": "no address"}))
+def test_a_process_without_standard_output_reports_an_invalid_configuration_by_its_exit_status(
+    tmp_path: Path,
+) -> None:
+    """The first log line raised an exception."""
+    node_config = {"listen": "127.0.0.1:0", "settings": SETTINGS, "known": {"version": 1, "full": True}}
+    config_file = tmp_path / "config.json"
+    config_file.write_text(json.dumps({**node_config, "listen": "no address"}))
     command = f"exec {sys.executable} -m violetstack >&-"
-    finished = subprocess.run(command, shell=True, env={**os.environ, "NODE_CONFIG": str(file)}, check=False)
+    finished = subprocess.run(
+        command, shell=True, env={**os.environ, "NODE_CONFIG": str(config_file)}, check=False
+    )
     assert finished.returncode == INVALID_CONFIGURATION
 
 
 class PipedWriter:
-    """A writer into a pipe that the test reads when it likes."""
+    """A `LogWriter` into a small pipe, which the test reads when needed."""
 
     def __init__(self) -> None:
         self.read_end, self.write_end = os.pipe()
@@ -128,7 +132,7 @@
         self.writer = LogWriter(self.write_end, lambda lines: b"dropped %d\n" % lines)
 
     def read_all(self) -> list[bytes]:
-        """What is written until nothing is left to write."""
+        """Returns all lines that are written until the writer's queue is empty."""
         data = b""
         while select.select([self.read_end], [], [], 0.05)[0] or not self.writer.flush(0.0):
             if select.select([self.read_end], [], [], 0.0)[0]:
@@ -144,24 +148,24 @@
     os.close(piped.write_end)
 
 
-def test_lines_that_do_not_fit_are_counted_and_told(piped: PipedWriter) -> None:
+def test_lines_that_exceed_the_queue_are_dropped_and_their_number_is_logged(piped: PipedWriter) -> None:
     lines = [b"%d %s" % (number, b"x" * 1000) for number in range(3 * MAX_QUEUED_BYTES // 1000)]
     for line in lines:
         piped.writer.write(line + b"\n")
     dropped = piped.writer.dropped
     assert dropped > MAX_QUEUED_BYTES // 1000
-    read = piped.read_all()
+    lines_read = piped.read_all()
     piped.writer.write(b"after\n")
-    read += piped.read_all()
-    told = [int(line.split()[1]) for line in read if line.startswith(b"dropped ")]
-    assert sum(told) == dropped  # in one line or two: the thread may take lines while they are written
-    written = [line for line in read if line.endswith(b"x")]
+    lines_read += piped.read_all()
+    reported = [int(line.split()[1]) for line in lines_read if line.startswith(b"dropped ")]
+    assert sum(reported) == dropped  # in one or two reports: the writer thread may empty the queue meanwhile
+    written = [line for line in lines_read if line.endswith(b"x")]
     assert len(written) == len(lines) - dropped
     assert written == [line for line in lines if line in set(written)]
-    assert read[-1] == b"after" or read[-2] == b"after"
+    assert lines_read[-1] == b"after" or lines_read[-2] == b"after"
 
 
-def test_lines_that_a_full_disk_does_not_take_are_counted() -> None:
+def test_lines_that_cannot_be_written_to_a_full_disk_are_counted() -> None:
     descriptor = os.open("/dev/full", os.O_WRONLY)
     writer = LogWriter(descriptor, lambda lines: b"dropped %d\n" % lines)
     for _ in range(3):
@@ -171,21 +175,20 @@
     os.close(descriptor)
 
 
-def test_a_half_written_line_spoils_none_that_follows(
+def test_a_partially_written_line_does_not_corrupt_the_next_line(
     piped: PipedWriter, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    system_write = os.write
-    outcomes: Iterator[int | OSError] = iter(
-        [2, OSError(errno.ENOSPC, "no space")]
-    )  # bytes that the system takes, or its error
+    real_write = os.write
+    # the number of bytes that the system accepts, or its error
+    outcomes: Iterator[int | OSError] = iter([2, OSError(errno.ENOSPC, "no space")])
 
-    def write(descriptor: int, data: bytes) -> int:
+    def write_partially(descriptor: int, data: bytes) -> int:
         outcome = next(outcomes, None)
         if isinstance(outcome, OSError):
             raise outcome
-        return system_write(descriptor, data if outcome is None else data[:outcome])
+        return real_write(descriptor, data if outcome is None else data[:outcome])
 
-    monkeypatch.setattr(os, "write", write)
+    monkeypatch.setattr(os, "write", write_partially)
     piped.writer.write(b"half\n")
     assert piped.writer.flush(ANSWER_TIMEOUT_S)
     piped.writer.write(b"whole\n")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process: exit status, log lines, and errors of the configuration."""
+"""The program as a process: exit status, log lines and configuration errors."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from violetstack.rehearsal.stage import SETTINGS
 
 
-def start(tmp_path: Path, told: dict[str, object]) -> subprocess.Popen[str]:
-    file = tmp_path / "config.json"
-    file.write_text(json.dumps(told))
+def start_program(tmp_path: Path, node_config: dict[str, object]) -> subprocess.Popen[str]:
+    config_file = tmp_path / "config.json"
+    config_file.write_text(json.dumps(node_config))
     return subprocess.Popen(
         [sys.executable, "-m", "violetstack"],
         stdout=subprocess.PIPE,
         text=True,
-        env={**os.environ, "NODE_CONFIG": str(file)},
+        env={**os.environ, "NODE_CONFIG": str(config_file)},
     )
 
 
 def test_sigterm_ends_the_program_with_status_0(tmp_path: Path) -> None:
-    with start(tmp_path, {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS}) as program:
+    with start_program(tmp_path, {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS}) as program:
         assert program.stdout is not None
         events = []
         for line in program.stdout:
@@ -40,12 +40,12 @@
 
 
 def test_an_invalid_configuration_logs_one_line_and_exits_with_status_2(tmp_path: Path) -> None:
-    with start(tmp_path, {"listen": "nowhere", "settings": SETTINGS}) as program:
-        out, _ = program.communicate(timeout=10)
-    assert (program.returncode, json.loads(out)["event"]) == (2, "config_invalid")
+    with start_program(tmp_path, {"listen": "nowhere", "settings": SETTINGS}) as program:
+        output, _ = program.communicate(timeout=10)
+    assert (program.returncode, json.loads(output)["event"]) == (2, "config_invalid")
 
 
-BAD: dict[str, dict[str, Any]] = {
+INVALID_CONFIGURATIONS: dict[str, dict[str, Any]] = {
     "listen": {"listen": "here"},
     "discovery": {"discovery": "127.0.0.1"},
     "seed": {"seed": "zz"},
@@ -66,26 +66,29 @@
 }
 
 
-@pytest.mark.parametrize("key", BAD)
+@pytest.mark.parametrize("key", INVALID_CONFIGURATIONS)
 def test_an_invalid_configuration_is_logged_with_its_key_in_a_short_line(tmp_path: Path, key: str) -> None:
-    """A configuration without a class, or without a timeout, must not start."""
-    told = {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS, **BAD[key]}
-    with start(tmp_path, told) as program:
-        out, _ = program.communicate(timeout=10)
-    (line,) = out.splitlines()
+    """A dispatcher must not start with an invalid configuration, such as one without classes or timeouts."""
+    node_config = {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS, **INVALID_CONFIGURATIONS[key]}
+    with start_program(tmp_path, node_config) as program:
+        output, _ = program.communicate(timeout=10)
+    (line,) = output.splitlines()
     assert (program.returncode, json.loads(line)["event"]) == (2, "config_invalid")
-    said = json.loads(line)["error"].replace(str(tmp_path / "config.json"), "")
-    assert key in said
+    error = json.loads(line)["error"].replace(str(tmp_path / "config.json"), "")
+    assert key in error
     assert len(line) < 500
 
 
 def test_an_address_in_use_logs_one_line_and_exits_with_status_2(tmp_path: Path) -> None:
-    """It must not end with a traceback."""
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        at = f"127.0.0.1:{taken.getsockname()[1]}"
-        for name, told in (("listen", {"listen": at}), ("mgmt", {"listen": "127.0.0.1:0", "mgmt": at})):
-            with start(tmp_path, {**told, "seed": "ff", "settings": SETTINGS}) as program:
-                out, _ = program.communicate(timeout=10)
-            last = json.loads(out.splitlines()[-1])
-            assert (program.returncode, last["event"]) == (2, "config_invalid")
-            assert last["error"].startswith(f"{name}: {at}: ")
+    """The program must not end with a traceback."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        address = f"127.0.0.1:{listener.getsockname()[1]}"
+        for key, node_config in (
+            ("listen", {"listen": address}),
+            ("mgmt", {"listen": "127.0.0.1:0", "mgmt": address}),
+        ):
+            with start_program(tmp_path, {**node_config, "seed": "ff", "settings": SETTINGS}) as program:
+                output, _ = program.communicate(timeout=10)
+            last_line = json.loads(output.splitlines()[-1])
+            assert (program.returncode, last_line["event"]) == (2, "config_invalid")
+            assert last_line["error"].startswith(f"{key}: {address}: ")
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""A configuration that is reloaded while the dispatcher serves."""
+"""Reloading of the configuration while the dispatcher serves requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 import trio
 
 from tests.process_time import wait_until
-from tests.test_program import start
+from tests.test_program import start_program
 from tests.test_stories import pair, play
 from violetstack.config import Config, ConfigError
 from violetstack.rehearsal.clients import BODY, ask_platform, connect, platform_headers
@@ -24,9 +24,9 @@
 from violetstack.rehearsal.stage import SETTINGS, Stage
 
 
-def test_sighup_reloads_the_file_and_keeps_the_process_running(tmp_path: Path) -> None:
-    told: dict[str, object] = {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS}
-    with start(tmp_path, told) as program:
+def test_sighup_reloads_the_configuration_without_a_restart(tmp_path: Path) -> None:
+    node_config: dict[str, object] = {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS}
+    with start_program(tmp_path, node_config) as program:
         assert program.stdout is not None
         events = []
         for line in program.stdout:
@@ -35,7 +35,7 @@
                 (tmp_path / "config.json").write_text("{no JSON")
                 program.send_signal(signal.SIGHUP)
             elif events[-1] == "config_reload_failed":
-                (tmp_path / "config.json").write_text(json.dumps(told))
+                (tmp_path / "config.json").write_text(json.dumps(node_config))
                 program.send_signal(signal.SIGHUP)
             elif events[-1] == "config_reloaded":
                 program.send_signal(signal.SIGTERM)
@@ -51,44 +51,45 @@
 
 
 def test_a_new_discovery_replaces_the_list_and_requests_in_flight_continue() -> None:
-    """SIGHUP must not end the streams in flight."""
-    hold = trio.Event()
-    reader, writer = pair(Act(pause=hold))
-    other = ModelHost("w2", "decode")
+    """A reload that changes the discovery address must not end the streams in flight."""
+    resume_stream = trio.Event()
+    prefill_host, decode_host = pair(Act(pause=resume_stream))
+    other_decode_host = ModelHost("w2", "decode")
 
     async def story(on: Stage) -> None:
-        await on.nursery.start(other.serve)
+        await on.nursery.start(other_decode_host.serve)
         call = await connect(on.platform)
         await call.send("POST", "/v1/chat/completions", platform_headers("q1", "orden"), BODY)
         await call.receive(events=3)
-        discovery = Discovery(reader.row(), other.row())  # its versions begin anew, and it knows no `w`
-        await on.nursery.start(discovery.serve)
-        on.daemon.reload(lambda: on.config(discovery=discovery.address))
-        on.discovery.tell({**writer.row(), "id": "old"})  # from the old one, after the move
+        # the versions of the new list start again at 1, and it does not contain `w`
+        new_discovery = Discovery(prefill_host.row(), other_decode_host.row())
+        await on.nursery.start(new_discovery.serve)
+        on.daemon.reload(lambda: on.config(discovery=new_discovery.address))
+        on.discovery.tell({**decode_host.row(), "id": "old"})  # from the former discovery, after the change
         await wait_until(lambda: "w" not in on.daemon.core.endpoints)
         assert (await ask_platform(on.platform, "q2", "orden")).outcome == "served"
-        assert other.begun == ["q2"]
+        assert other_decode_host.begun == ["q2"]
         assert "old" not in on.daemon.core.endpoints
-        assert discovery.asked[0] == "/api/targets"
-        hold.set()
+        assert new_discovery.asked[0] == "/api/targets"
+        resume_stream.set()
         assert (await call.receive()).whole
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_an_invalid_file_keeps_the_configuration_in_force(capfd: pytest.CaptureFixture[str]) -> None:
+def test_an_invalid_configuration_changes_nothing(capfd: pytest.CaptureFixture[str]) -> None:
     async def story(on: Stage) -> None:
-        def bad() -> Config:
+        def fail_to_load() -> Config:
             raise ConfigError("no file")
 
-        most = on.daemon.listeners[0].table.max_connections
-        on.daemon.reload(bad)
+        max_connections = on.daemon.listeners[0].table.max_connections
+        on.daemon.reload(fail_to_load)
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "served"
-        assert on.daemon.listeners[0].table.max_connections == most
+        assert on.daemon.listeners[0].table.max_connections == max_connections
         on.daemon.reload(lambda: on.config(limits={"sockets": 0}))
-        assert on.daemon.listeners[0].table.max_connections == most
+        assert on.daemon.listeners[0].table.max_connections == max_connections
         on.daemon.reload(lambda: on.config(limits={"sockets": 128, "memory_mb": 64.0}))
-        assert on.daemon.listeners[0].table.max_connections < most
+        assert on.daemon.listeners[0].table.max_connections < max_connections
         on.daemon.reload(lambda: on.config(limits={"sockets": 1024, "memory_mb": 32.0}))
         assert sum(listener.table.max_connections for listener in on.daemon.listeners) == 1024 // 3 // 2 * 2
 
@@ -106,12 +107,12 @@
             if error.errno != errno.ENXIO:
                 raise
         time.sleep(0.005)
-    raise AssertionError("nobody reads the file")
+    raise AssertionError(f"no process opened {path} for reading within {within_s} s")
 
 
-def test_sighup_while_the_file_is_read_for_the_first_time_reads_it_again(tmp_path: Path) -> None:
-    """It was ignored until the event loop ran, so the process kept the discovery of the older file."""
-    told: dict[str, object] = {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS}
+def test_sighup_during_the_first_read_of_the_configuration_causes_a_reload(tmp_path: Path) -> None:
+    """SIGHUP was ignored until the event loop ran, so the process kept the old file's discovery address."""
+    node_config: dict[str, object] = {"listen": "127.0.0.1:0", "seed": "ff", "settings": SETTINGS}
     config = tmp_path / "config.json"
     os.mkfifo(config)
     environment = {**os.environ, "NODE_CONFIG": str(config)}
@@ -122,8 +123,8 @@
             pipe = open_for_reader(config)
             program.send_signal(signal.SIGHUP)
             config.unlink()
-            config.write_text(json.dumps(told))
-            os.write(pipe, json.dumps(told).encode())
+            config.write_text(json.dumps(node_config))
+            os.write(pipe, json.dumps(node_config).encode())
             os.close(pipe)
             assert program.stdout is not None
             events = []
@@ -137,35 +138,35 @@
     assert "config_reloaded" in events
 
 
-def test_an_unforeseen_failure_of_a_reload_is_logged_and_requests_are_served(
+def test_an_unexpected_exception_in_a_reload_is_logged_and_requests_are_served(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    """It ended the process, and every request in flight with it."""
+    """The exception ended the process and every request in flight."""
 
     async def story(on: Stage) -> None:
-        def broken() -> Config:
-            raise RuntimeError("not foreseen")
+        def raise_unexpected() -> Config:
+            raise RuntimeError("unexpected")
 
-        on.daemon.reload(broken)
+        on.daemon.reload(raise_unexpected)
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "served"
 
     play(*pair(), story=story)
     assert '"event":"config_reload_failed"' in capfd.readouterr().out
 
 
-def test_a_failure_of_one_turn_of_the_event_loop_ends_no_other_request(
+def test_an_exception_in_one_run_of_the_core_ends_no_request(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
     async def story(on: Stage) -> None:
         run = on.daemon.core.run
-        failures = [RuntimeError("not foreseen")]
+        failures = [RuntimeError("unexpected")]
 
-        def failing_once(now: float) -> None:
+        def run_failing_once(now: float) -> None:
             if on.daemon.core.open_requests and failures:
                 raise failures.pop()
             run(now)
 
-        on.daemon.core.run = failing_once  # type: ignore[method-assign]
+        on.daemon.core.run = run_failing_once  # type: ignore[method-assign]
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "served"
         assert not failures
 
