--- a/violetstack/daemon/lifecycle.py
+++ b/violetstack/daemon/lifecycle.py
@@ -17,7 +17,8 @@
     the exact time of arrival is unknown.
 
     Attributes:
-        earliest_arrival_ms: When the process was last known to run before the handler ran.
+        earliest_arrival_ms: When the process was last known to run before the handler ran; had the signal
+            arrived before that time, it would have been handled earlier.
         handled_ms: When the signal handler ran.
     """
 
