--- a/violetstack/simulator_adapter/__main__.py
+++ b/violetstack/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m violetstack.simulator_adapter`."""
+"""Runs the simulator adapter on standard input and output."""
 
 from __future__ import annotations
 
--- a/violetstack/simulator_adapter/messages.py
+++ b/violetstack/simulator_adapter/messages.py
@@ -1,6 +1,6 @@
 """The simulator's messages.
 
-Attributes have the policy's names; where the key on the wire differs, the field names it.
+Classes and attributes have the policy's names. Tags and field names of the wire are stated where they differ.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 class EventMessage(Message, tag_field="op"):
-    """Base of the events of a batch; the tag is the word of the wire."""
+    """Base class of the events in a batch; `op` has the event's tag."""
 
 
 class InstanceStarted(EventMessage, tag="up"):
-    """A dispatcher instance starts."""
+    """A dispatcher instance started."""
 
     instance: str = msgspec.field(name="i")
     seed: int = msgspec.field(name="rng_seed")
@@ -23,13 +23,13 @@
 
 
 class InstanceKilled(EventMessage, tag="killed"):
-    """A dispatcher instance ends without notice."""
+    """A dispatcher instance ended without shutting down."""
 
     instance: str = msgspec.field(name="i")
 
 
 class EndpointMessage(Message):
-    """A host in a list; see `violetstack.policy_api.Endpoint`."""
+    """A host of an endpoint list; see `violetstack.policy_api.Endpoint`."""
 
     server: str = msgspec.field(name="engine")
     cell: int = msgspec.field(name="pod", default=0)
@@ -41,14 +41,14 @@
 
 
 class ListDefined(EventMessage, tag="define_list"):
-    """Numbers a list of hosts, for the announcements from here on."""
+    """Defines the endpoint list with the number `page`, for the announcements after this event."""
 
     page: int
     endpoints: list[EndpointMessage] = msgspec.field(name="nodes_list")
 
 
 class ListAnnounced(EventMessage, tag="announce"):
-    """An instance receives a numbered list, or learns that discovery failed."""
+    """An instance received the endpoint list with the number `page`, or discovery failed."""
 
     instance: str = msgspec.field(name="i")
     scope: str
@@ -57,7 +57,7 @@
 
 
 class RequestArrived(EventMessage, tag="work_item"):
-    """A request; see `violetstack.policy_api.Request`."""
+    """A request arrived; see `violetstack.policy_api.Request`."""
 
     instance: str = msgspec.field(name="i")
     id: str = msgspec.field(name="handle")
@@ -94,14 +94,14 @@
 
 
 class TimerElapsed(EventMessage, tag="elapsed"):
-    """A timer is due."""
+    """A timer elapsed."""
 
     instance: str = msgspec.field(name="i")
     token: str
 
 
 class ReservationAnswered(EventMessage, tag="answer_ahead"):
-    """A host has answered a reservation."""
+    """A host answered a reservation."""
 
     instance: str = msgspec.field(name="i")
     id: str = msgspec.field(name="handle")
@@ -111,7 +111,7 @@
 
 
 class GossipArrived(EventMessage, tag="inbox"):
-    """A datagram, in hexadecimal, from the dispatcher with this number."""
+    """A datagram arrived from the dispatcher with the number `peer`; its payload is hexadecimal."""
 
     instance: str = msgspec.field(name="i")
     peer: int = msgspec.field(name="src_peer")
@@ -154,7 +154,7 @@
 
 
 class BatchMessage(Message):
-    """One line of input: the events of a moment, in order."""
+    """One line of input: the events of one point in time, in order."""
 
     now: float
     turn: int
@@ -162,10 +162,10 @@
 
 
 class ActionMessage(msgspec.Struct, tag_field="op"):
-    """Base of the actions of a reply; the tag is the word of the wire."""
+    """Base class of the actions in a reply; `op` has the action's tag."""
 
 
-class Assign(ActionMessage, tag="assign"):
+class SendAttemptMessage(ActionMessage, tag="assign"):
     """Send an attempt."""
 
     id: str = msgspec.field(name="handle")
@@ -174,7 +174,7 @@
     instance: str = msgspec.field(name="i")
 
 
-class PrePair(ActionMessage, tag="pre_pair"):
+class ReserveDecodeSlotMessage(ActionMessage, tag="pre_pair"):
     """Reserve a decode slot."""
 
     id: str = msgspec.field(name="handle")
@@ -182,14 +182,14 @@
     instance: str = msgspec.field(name="i")
 
 
-class Unhold(ActionMessage, tag="unhold"):
-    """Release what hosts hold for a request."""
+class ReleaseStateMessage(ActionMessage, tag="unhold"):
+    """Release the state that hosts hold for a request."""
 
     id: str = msgspec.field(name="handle")
     instance: str = msgspec.field(name="i")
 
 
-class Withdraw(ActionMessage, tag="withdraw"):
+class CancelAttemptMessage(ActionMessage, tag="withdraw"):
     """Cancel an attempt."""
 
     id: str = msgspec.field(name="handle")
@@ -197,7 +197,7 @@
     instance: str = msgspec.field(name="i")
 
 
-class Decline(ActionMessage, tag="decline"):
+class RejectRequestMessage(ActionMessage, tag="decline"):
     """Reject a request."""
 
     id: str = msgspec.field(name="handle")
@@ -205,21 +205,21 @@
     instance: str = msgspec.field(name="i")
 
 
-class Abort(ActionMessage, tag="abort"):
+class FailRequestMessage(ActionMessage, tag="abort"):
     """Fail a request."""
 
     id: str = msgspec.field(name="handle")
     instance: str = msgspec.field(name="i")
 
 
-class Bounce(ActionMessage, tag="bounce"):
+class MigrateStreamMessage(ActionMessage, tag="bounce"):
     """Resume a stream at another host."""
 
     id: str = msgspec.field(name="handle")
     instance: str = msgspec.field(name="i")
 
 
-class Remind(ActionMessage, tag="remind"):
+class StartTimerMessage(ActionMessage, tag="remind"):
     """Start a timer."""
 
     delay_ms: float = msgspec.field(name="after")
@@ -227,42 +227,42 @@
     instance: str = msgspec.field(name="i")
 
 
-class StreamChanges(ActionMessage, tag="stream_changes"):
+class SetWatchMessage(ActionMessage, tag="stream_changes"):
     """Open or close the watch of the endpoint list."""
 
     enabled: bool = msgspec.field(name="enable")
     instance: str = msgspec.field(name="i")
 
 
-class Snapshot(ActionMessage, tag="snapshot"):
-    """Ask for the whole endpoint list."""
+class FetchEndpointsMessage(ActionMessage, tag="snapshot"):
+    """Fetch the complete endpoint list."""
 
     instance: str = msgspec.field(name="i")
 
 
-class Poll(ActionMessage, tag="poll"):
+class SendHealthCheckMessage(ActionMessage, tag="poll"):
     """Send a health check."""
 
     server: str = msgspec.field(name="engine")
     instance: str = msgspec.field(name="i")
 
 
-class Post(ActionMessage, tag="post"):
-    """Send a datagram; the destination `*` is every other dispatcher."""
+class SendGossipMessage(ActionMessage, tag="post"):
+    """Send a datagram; the destination `*` stands for all other dispatchers."""
 
     destination: str = msgspec.field(name="dst")
     payload_hex: str = msgspec.field(name="blob")
     instance: str = msgspec.field(name="i")
 
 
-class Emit(ActionMessage, tag="emit"):
+class WriteLogMessage(ActionMessage, tag="emit"):
     """Write a log line."""
 
     text: str = msgspec.field(name="msg")
     instance: str = msgspec.field(name="i")
 
 
-class Fault(ActionMessage, tag="fault"):
+class PolicyFailedMessage(ActionMessage, tag="fault"):
     """Report that the policy raised an exception."""
 
     instance: str = msgspec.field(name="i")
@@ -270,7 +270,7 @@
 
 
 class ReplyMessage(msgspec.Struct):
-    """One line of output, for the batch with the same turn."""
+    """One line of output: the actions for the batch with the same `turn`."""
 
     turn: int
     actions: list[ActionMessage]
--- a/violetstack/simulator_adapter/translation.py
+++ b/violetstack/simulator_adapter/translation.py
@@ -1,4 +1,4 @@
-"""Translates the simulator's messages to the policy's events, and its actions to messages."""
+"""Translates the simulator's messages to the policy's events, and the policy's actions to messages."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from violetstack.settings import MessageError, look_up
 from violetstack.simulator_adapter import messages
 
-Pages = Mapping[int, tuple[Endpoint, ...]]
+ListsByPage = Mapping[int, tuple[Endpoint, ...]]
 RequestAction = (
     SendAttempt
     | ReserveDecodeSlot
@@ -53,10 +53,10 @@
 FLAG_RETRY = 2
 FLAG_RESUMED = 16
 
-TOPIC_RESERVED = 1
-EVERY_OTHER_DISPATCHER = "*"
+TOPIC_SLOT_RESERVED = 1
+ALL_OTHER_DISPATCHERS = "*"
 
-STATUS_BY_WORD = {
+STATUS_BY_WIRE_VALUE = {
     "pass": AttemptStatus.OK,
     "fault": AttemptStatus.ERROR,
     "no_room": AttemptStatus.REJECTED,
@@ -67,12 +67,12 @@
     "stale_send": AttemptStatus.ALREADY_FINISHED,
     "ready_to_answer": AttemptStatus.PREFILLED,
 }
-STATE_BY_WORD = {
+STATE_BY_WIRE_VALUE = {
     "healthy": EndpointState.HEALTHY,
     "cordoned": EndpointState.DRAINING,
     "deregistered": EndpointState.REMOVED,
 }
-SCOPE_BY_WORD = {
+SCOPE_BY_WIRE_VALUE = {
     "incr": UpdateScope.DELTA,
     "total": UpdateScope.SNAPSHOT,
     "warm_copy": UpdateScope.CACHED,
@@ -81,52 +81,52 @@
 
 
 class UndefinedPageError(MessageError):
-    """An announcement names a list that was not defined before it."""
+    """An announcement names an endpoint list that was not defined before."""
 
     def __init__(self, page: int | None) -> None:
-        """Creates the error for the list's number."""
-        super().__init__(f"announce names page {page}, which was never defined")
+        """Creates the error for the number of a list."""
+        super().__init__(f"an announce event names page {page}, which is not defined")
         self.page = page
 
 
 class PayloadError(MessageError):
-    """A datagram is not hexadecimal."""
+    """The payload of a datagram is not hexadecimal."""
 
     def __init__(self) -> None:
         """Creates the error."""
-        super().__init__("inbox blob is not hex")
+        super().__init__("the blob of an inbox event is not hexadecimal")
 
 
 def decode_endpoint(message: messages.EndpointMessage) -> Endpoint:
-    """Translates a host of a list.
+    """Translates a host of an endpoint list.
 
     Raises:
-        MessageError: Its state is unknown.
+        MessageError: The host's state is unknown.
     """
     return Endpoint(
         server=message.server,
         cell=message.cell,
         weight=1.0 if message.weight is None else message.weight,
         zone=message.zone,
-        state=look_up(STATE_BY_WORD, message.state, "stage_state"),
+        state=look_up(STATE_BY_WIRE_VALUE, message.state, "stage_state"),
         kind=message.kind,
         started_ms=message.started_ms or None,
     )
 
 
-def decode_event(message: messages.PolicyEvent, pages: Pages) -> Event:
+def decode_event(message: messages.PolicyEvent, lists_by_page: ListsByPage) -> Event:
     """Translates an event.
 
     Args:
         message: The event.
-        pages: The numbered lists of hosts as of this event.
+        lists_by_page: The endpoint lists that are defined when the event occurs, by number.
 
     Raises:
-        MessageError: A value is not one that the wire allows.
+        MessageError: A value is invalid.
     """
     match message:
         case messages.ListAnnounced():
-            return _endpoint_update(message, pages)
+            return _endpoint_update(message, lists_by_page)
         case messages.RequestArrived():
             return _request(message)
         case messages.StreamBegan():
@@ -135,7 +135,7 @@
         case messages.AttemptEnded():
             return _attempt_finished(message)
         case messages.ReservationAnswered():
-            reserved = message.topic == TOPIC_RESERVED
+            reserved = message.topic == TOPIC_SLOT_RESERVED
             return ReservationResult(message.id, message.server, message.attempt, reserved)
         case messages.ClientLeft():
             return ClientDisconnected(message.id)
@@ -144,7 +144,7 @@
         case messages.HealthChecked():
             return HealthCheckResult(
                 server=message.server,
-                status=look_up(STATUS_BY_WORD, message.status, "ending"),
+                status=look_up(STATUS_BY_WIRE_VALUE, message.status, "ending"),
                 duration_ms=message.duration_ms or 0.0,
                 load_report=_load_report(message.load_report),
             )
@@ -152,13 +152,13 @@
             return GossipReceived(message.peer, _payload(message.payload_hex))
 
 
-def _endpoint_update(message: messages.ListAnnounced, pages: Pages) -> EndpointUpdate:
-    scope = look_up(SCOPE_BY_WORD, message.scope, "scope")
+def _endpoint_update(message: messages.ListAnnounced, lists_by_page: ListsByPage) -> EndpointUpdate:
+    scope = look_up(SCOPE_BY_WIRE_VALUE, message.scope, "scope")
     endpoints: tuple[Endpoint, ...] = ()
     if scope is not UpdateScope.FAILED:
-        if message.page is None or message.page not in pages:
+        if message.page is None or message.page not in lists_by_page:
             raise UndefinedPageError(message.page)
-        endpoints = pages[message.page]
+        endpoints = lists_by_page[message.page]
     return EndpointUpdate(scope, endpoints, message.version or 0)
 
 
@@ -185,7 +185,7 @@
         id=message.id,
         server=message.server,
         attempt=message.attempt,
-        status=look_up(STATUS_BY_WORD, message.status, "ending"),
+        status=look_up(STATUS_BY_WIRE_VALUE, message.status, "ending"),
         duration_ms=message.duration_ms or 0.0,
         request_finished=bool(message.request_finished),
         detail=message.detail or 0,
@@ -205,20 +205,20 @@
 
 
 def encode_action(instance: str, action: Action) -> messages.ActionMessage:
-    """Translates an action of an instance."""
+    """Translates an action of the named instance's policy."""
     match action:
         case StartTimer():
-            return messages.Remind(action.delay_ms, action.token, instance)
+            return messages.StartTimerMessage(action.delay_ms, action.token, instance)
         case SetWatch():
-            return messages.StreamChanges(action.enabled, instance)
+            return messages.SetWatchMessage(action.enabled, instance)
         case FetchEndpoints():
-            return messages.Snapshot(instance)
+            return messages.FetchEndpointsMessage(instance)
         case SendHealthCheck():
-            return messages.Poll(action.server, instance)
+            return messages.SendHealthCheckMessage(action.server, instance)
         case SendGossip():
-            return messages.Post(EVERY_OTHER_DISPATCHER, action.payload.hex(), instance)
+            return messages.SendGossipMessage(ALL_OTHER_DISPATCHERS, action.payload.hex(), instance)
         case WriteLog():
-            return messages.Emit(action.text, instance)
+            return messages.WriteLogMessage(action.text, instance)
         case _:
             return _encode_request_action(instance, action)
 
@@ -226,16 +226,16 @@
 def _encode_request_action(instance: str, action: RequestAction) -> messages.ActionMessage:
     match action:
         case SendAttempt():
-            return messages.Assign(action.id, action.server, action.deadline_ms, instance)
+            return messages.SendAttemptMessage(action.id, action.server, action.deadline_ms, instance)
         case ReserveDecodeSlot():
-            return messages.PrePair(action.id, action.server, instance)
+            return messages.ReserveDecodeSlotMessage(action.id, action.server, instance)
         case ReleaseState():
-            return messages.Unhold(action.id, instance)
+            return messages.ReleaseStateMessage(action.id, instance)
         case CancelAttempt():
-            return messages.Withdraw(action.id, action.attempt, instance)
+            return messages.CancelAttemptMessage(action.id, action.attempt, instance)
         case RejectRequest():
-            return messages.Decline(action.id, action.retry_after_ms, instance)
+            return messages.RejectRequestMessage(action.id, action.retry_after_ms, instance)
         case FailRequest():
-            return messages.Abort(action.id, instance)
+            return messages.FailRequestMessage(action.id, instance)
         case MigrateStream():
-            return messages.Bounce(action.id, instance)
+            return messages.MigrateStreamMessage(action.id, instance)
