--- a/tests/test_bad_hosts.py
+++ b/tests/test_bad_hosts.py
@@ -10,7 +10,7 @@
 
 from tests.test_stories import pair, play
 from violetstack.net.upstream import response_reader
-from violetstack.protocol.headers import report_of
+from violetstack.protocol.headers import parse_load_report
 from violetstack.rehearsal.clients import ask_chat, ask_platform, chat_body, chat_headers
 from violetstack.rehearsal.hosts import SPOILT, SPOILT_LATER, Act
 from violetstack.rehearsal.stage import Stage
@@ -95,9 +95,9 @@
 
 def test_numbers_of_a_report_are_finite_and_not_negative() -> None:
     names = ("rif", "x0")
-    assert report_of("TEXT rif=nan, x0=0.5", names) == (None, 0.5)
-    assert report_of("TEXT rif=-1, x0=inf", names) is None
-    assert not any(isnan(value or 0.0) for value in report_of("TEXT rif=2, x0=1e999", names) or ())
+    assert parse_load_report("TEXT rif=nan, x0=0.5", names) == (None, 0.5)
+    assert parse_load_report("TEXT rif=-1, x0=inf", names) is None
+    assert not any(isnan(value or 0.0) for value in parse_load_report("TEXT rif=2, x0=1e999", names) or ())
 
 
 def test_a_request_rejected_as_invalid_by_a_host_is_not_retried() -> None:
--- a/tests/test_decode_errors.py
+++ b/tests/test_decode_errors.py
@@ -6,7 +6,7 @@
 
 from tests.test_stories import pair, play
 from violetstack.net.upstream.stream_trailer import StreamTrailer, cached_tokens_of, is_error_event
-from violetstack.protocol.headers import check_body
+from violetstack.protocol.headers import check_is_json_object
 from violetstack.protocol.http_server import InvalidRequestError
 from violetstack.rehearsal.clients import connect, platform_headers
 from violetstack.rehearsal.hosts import Act
@@ -33,7 +33,7 @@
 
 def test_a_deep_body_is_an_invalid_request() -> None:
     with pytest.raises(InvalidRequestError):
-        check_body(memoryview(b'{"a":' + DEEP + b"}"))
+        check_is_json_object(memoryview(b'{"a":' + DEEP + b"}"))
 
 
 def test_a_client_with_a_deep_body_gets_an_answer() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -579,7 +579,7 @@
 def test_a_resumed_response_keeps_the_framing_and_the_connection_header_of_its_head() -> None:
     for closing in (False, True):
         connection = HttpServerConnection.resumed(closing)
-        assert connection.passable
+        assert connection.can_migrate
         assert (
             b"".join(connection.data(b"data: 2\n\n") + connection.end())
             == chunk(b"data: 2\n\n") + b"0\r\n\r\n"
--- a/violetstack/admin/api.py
+++ b/violetstack/admin/api.py
@@ -106,7 +106,7 @@
         """Creates a connection; `log` is called with an event name and the event's fields."""
         self._operations = operations
         self._log = log
-        self._http = HttpServerConnection(most_body=MAX_BODY_BYTES)
+        self._http = HttpServerConnection(max_body_bytes=MAX_BODY_BYTES)
         self._http.closing = True
 
     def feed(self, data: bytes) -> bytes | None:
@@ -116,7 +116,7 @@
             self._http.feed(data)
             request = self._http.next_request()
             if request is None:
-                return self._http.continue_100() if self._http.wants_continue else None
+                return self._http.continue_100() if self._http.awaits_100_continue else None
             body = msgspec.json.encode(self._dispatch(request))
         except InvalidRequestError as error:
             return self._reject(request, RequestRejectedError(error.status, error.reason))
--- a/violetstack/fronts/completion_request.py
+++ b/violetstack/fronts/completion_request.py
@@ -9,7 +9,7 @@
 import orjson
 
 from violetstack.fronts.chat_errors import InvalidChatRequestError
-from violetstack.protocol.headers import CHARS_A_TOKEN
+from violetstack.protocol.headers import CHARS_PER_TOKEN
 
 MAX_CHOICES = 1
 PREFIX_ID_LENGTH = 16
@@ -127,9 +127,9 @@
         stream=stream,
         include_usage=bool(options.get("include_usage")),
         messages=messages,
-        prompt_tokens=-(-sum(lengths) // CHARS_A_TOKEN),
+        prompt_tokens=-(-sum(lengths) // CHARS_PER_TOKEN),
         prefix_id=_digest(messages[0])[:PREFIX_ID_LENGTH] if shares_prefix else None,
-        prefix_tokens=lengths[0] // CHARS_A_TOKEN if shares_prefix else 0,
+        prefix_tokens=lengths[0] // CHARS_PER_TOKEN if shares_prefix else 0,
         max_tokens=_token_limit(body),
         conversation=_conversation(body),
     )
--- a/violetstack/net/downstream/connection.py
+++ b/violetstack/net/downstream/connection.py
@@ -213,7 +213,7 @@
         with trio.move_on_after(MIGRATION_FLUSH_TIMEOUT_S):
             await pause.reading_stopped.wait()
             await self._output.wait_flushed()
-        ready = pause.reading_stopped.is_set() and not self.lifecycle.closed and self.http.passable
+        ready = pause.reading_stopped.is_set() and not self.lifecycle.closed and self.http.can_migrate
         if not ready or self._output.pending_bytes:
             self.resume()
             return False
@@ -222,7 +222,7 @@
     def _can_migrate(self) -> bool:
         if self.lifecycle.state is not ConnectionState.STREAMING or self.migration_pause is not None:
             return False
-        return isinstance(self.stream, trio.SocketStream) and self.http.passable
+        return isinstance(self.stream, trio.SocketStream) and self.http.can_migrate
 
     @property
     def descriptor(self) -> int | None:
@@ -447,7 +447,7 @@
             self.note_close_reason(CloseReason.REQUEST_REJECTED)
             self.lifecycle.apply(ConnectionEvent.END_BEGUN)
             self._output.wake()
-        elif self.http.wants_continue:
+        elif self.http.awaits_100_continue:
             self._output.put([self.http.continue_100()])
 
     def _rejection_reason(self) -> str:
--- a/violetstack/net/downstream/connection_reader.py
+++ b/violetstack/net/downstream/connection_reader.py
@@ -121,7 +121,7 @@
                 self.client_ended.set()
                 connection.reading_ended()
                 return
-        while connection.http.arriving and await receive_some(connection.stream, READ_SIZE):
+        while connection.http.request_incomplete and await receive_some(connection.stream, READ_SIZE):
             connection.progress_at = trio.current_time()  # discards the rest of a rejected request
         # A request that crosses the announced end is left unread, so that its client sends it again.
         await wait_for_peer_end(connection.stream)
--- a/violetstack/net/stream_migration.py
+++ b/violetstack/net/stream_migration.py
@@ -141,7 +141,7 @@
             cached_tokens=cached_tokens,
             prompt_tokens=request.policy_request.prompt_tokens,
             holds_remote_state=request.hold.needs_release,
-            closing=client.http.ends,
+            closing=client.http.closes_after_response,
         )
         async with self._one_offer_at_a_time:
             committed = await self._offer(offer, client_descriptor, connection.sock.fileno())
--- a/violetstack/net/upstream/health_check.py
+++ b/violetstack/net/upstream/health_check.py
@@ -11,7 +11,7 @@
 from violetstack.net.upstream.connection_pool import ConnectionPool
 from violetstack.net.upstream.short_call import CALL_TIMEOUT_S, short_call
 from violetstack.policy_api import AttemptStatus, HealthCheckResult
-from violetstack.protocol.headers import report_of
+from violetstack.protocol.headers import parse_load_report
 from violetstack.protocol.http_client import InvalidResponseError
 
 
@@ -41,7 +41,7 @@
                     return
                 head = await short_call(self._pool, connection, "GET", "/-/load")
                 status = AttemptStatus.OK if head.status == 200 else AttemptStatus.ERROR
-                report = report_of(head.headers.get("srv-load"), self._report_fields)
+                report = parse_load_report(head.headers.get("srv-load"), self._report_fields)
         except LocalFaultError:
             return
         except NotConnectedError:
--- a/violetstack/net/upstream/response_reader.py
+++ b/violetstack/net/upstream/response_reader.py
@@ -20,7 +20,7 @@
 )
 from violetstack.policy_api import AttemptStatus
 from violetstack.protocol import sse
-from violetstack.protocol.headers import report_of
+from violetstack.protocol.headers import parse_load_report
 from violetstack.protocol.http_client import InvalidResponseError, ResponseData, ResponseEnd, ResponseHead
 
 HEAD_TIMEOUT_S = 30.0
@@ -83,7 +83,7 @@
         self._resumed = False
         """Whether another process has read the head; the response has chunked encoding then."""
         self._body = b""
-        self._splitter = sse.Splitter()
+        self._splitter = sse.EventSplitter()
         self._trailer = StreamTrailer(report_fields)
         self._partial = False
         self._progress_at = trio.current_time()
@@ -223,7 +223,7 @@
         return AttemptResult(AttemptStatus.REJECTED if rejected else AttemptStatus.ERROR)
 
     def _platform_result(self, head: ResponseHead) -> AttemptResult:
-        report = report_of(head.headers.get("srv-load"), self._report_fields)
+        report = parse_load_report(head.headers.get("srv-load"), self._report_fields)
         if head.status == 202 and self._attempt.is_prefill:
             cached = self._clamp_cached_tokens(cached_tokens_of(self._body))
             return AttemptResult(AttemptStatus.PREFILLED, cached, report)
--- a/violetstack/net/upstream/stream_trailer.py
+++ b/violetstack/net/upstream/stream_trailer.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from violetstack.protocol import sse
-from violetstack.protocol.headers import report_of
+from violetstack.protocol.headers import parse_load_report
 from violetstack.protocol.json_errors import DECODE_ERRORS
 
 LoadReport = tuple[float | None, ...] | None
@@ -54,7 +54,7 @@
         for comment in sse.comments(event):
             name, _, value = comment.partition(":")
             if name.strip().lower() == "srv-load":
-                self.load_report = report_of(value, self._report_fields)
+                self.load_report = parse_load_report(value, self._report_fields)
 
     def _read_usage(self, event: memoryview) -> None:
         try:
--- a/violetstack/protocol/__init__.py
+++ b/violetstack/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""State machines that are fed bytes and know no socket."""
+"""Parsers and state machines of the protocols; they take and return bytes and use no sockets."""
--- a/violetstack/protocol/discovery.py
+++ b/violetstack/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's wire format: the endpoint list and its changes as JSON objects, decoded to endpoint updates."""
+"""Decodes discovery's wire format: the endpoint list and its changes, sent as JSON objects."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from violetstack.protocol.json_errors import DECODE_ERRORS
 from violetstack.settings import SettingsMessage
 
-MAX_OBJECT_BYTES = 1024 * 1024  # a hundred hosts take some 15,000
-MAX_SKIPPED = 20  # entries of a list that are reported
-SKIPPED_LENGTH = 60  # characters of each
-ERROR_LENGTH = 200
-OUTSIDE_STRING = re.compile(rb'[{}\[\]"]')  # the bytes that nest objects or begin a string
-INSIDE_STRING = re.compile(rb'["\\]')  # the bytes that end a string or escape one
+MAX_OBJECT_BYTES = 1024 * 1024  # a list of 100 hosts takes about 15,000
+MAX_SKIPPED = 20  # skipped entries that are reported per list
+SKIPPED_LENGTH = 60  # characters reported of a skipped entry
+ERROR_LENGTH = 200  # characters of a decoder's error message
+OUTSIDE_STRING = re.compile(rb'[{}\[\]"]')  # bytes that begin or end an object, an array or a string
+INSIDE_STRING = re.compile(rb'["\\]')  # bytes that end a string or begin an escape sequence
 ADDRESS = re.compile(r"(\[[0-9A-Fa-f:.]+\]|[0-9A-Fa-f:.]+|[A-Za-z0-9._-]+):([0-9]{1,5})")
-MAX_HOST_LENGTH = 253  # of a name (RFC 1035)
+MAX_HOST_LENGTH = 253  # of a host name (RFC 1035)
 MAX_LABEL_LENGTH = 63
 MAX_PORT = 65535
 Int64 = Annotated[int, msgspec.Meta(ge=-(2**63), le=2**63 - 1)]
@@ -27,7 +27,7 @@
 
 
 class ListedEndpoint(msgspec.Struct):
-    """One host as discovery writes it; `started_ms` is Unix time, 0 where it is not known."""
+    """One host as discovery sends it; `started_ms` is Unix time, 0 if it is unknown."""
 
     id: str
     addr: str = ""
@@ -40,7 +40,7 @@
 
 
 class EndpointListMessage(msgspec.Struct):
-    """A complete list (`full`), or the entries that have changed since an earlier version."""
+    """A complete list (`full`), or the entries that changed since an earlier version."""
 
     version: Int64 = 0
     full: bool = False
@@ -48,14 +48,14 @@
 
 
 class EntryIdentity(msgspec.Struct):
-    """What is read of an entry that can't be decoded as a whole."""
+    """The fields that are decoded from an entry that is otherwise invalid."""
 
     id: str
     state: str = ""
 
 
 class UndecodedListMessage(msgspec.Struct):
-    """A list whose entries are decoded one by one, because one of them could not be."""
+    """A list with undecoded entries; used if at least one of them is invalid."""
 
     version: Int64 = 0
     full: bool = False
@@ -63,17 +63,17 @@
 
 
 class EndpointListError(Exception):
-    """Discovery sent something that is no endpoint list."""
+    """Discovery sent data that is not an endpoint list."""
 
 
 class WatchEvent(msgspec.Struct, frozen=True):
-    """A list or a change, decoded.
+    """A decoded list or change.
 
     Attributes:
         update: The entries that can be applied.
         addresses: The addresses of these hosts, by id.
-        skipped: The ids, or the beginnings, of entries of which something could not be used.
-        messages: The entries that can be applied, in discovery's form.
+        skipped: Entries that were left out or used only in part, by id or by the beginning of their text.
+        messages: The entries that can be applied, as discovery sends them.
     """
 
     update: EndpointUpdate
@@ -84,62 +84,69 @@
 
 class _PartialList(NamedTuple):
     message: EndpointListMessage
-    unreadable: tuple[str, ...]  # the beginning of each entry that could not be decoded
+    undecodable: tuple[str, ...]  # the beginning of the text of each entry that could not be decoded
 
 
 def is_valid_address(text: str) -> bool:
-    """Whether the text is `host:port` with a host and a port that a socket can be given."""
-    found = ADDRESS.fullmatch(text)
-    if found is None or not 0 < int(found[2]) <= MAX_PORT:
+    """Returns whether the text is `host:port` with a host and a port that can be connected to."""
+    address = ADDRESS.fullmatch(text)
+    if address is None or not 0 < int(address[2]) <= MAX_PORT:
         return False
-    labels = found[1].split(".")
-    return len(found[1]) <= MAX_HOST_LENGTH and all(len(label) <= MAX_LABEL_LENGTH for label in labels)
+    labels = address[1].split(".")
+    return len(address[1]) <= MAX_HOST_LENGTH and all(len(label) <= MAX_LABEL_LENGTH for label in labels)
 
 
-def _nothing_known(_id: str) -> ListedEndpoint | None:
+def _no_known_entry(_id: str) -> ListedEndpoint | None:
     return None
 
 
 class EndpointListDecoder:
     """Decodes lists and changes to watch events.
 
-    A host that is known keeps what an entry states in no usable form, so that neither its drain nor its
-    place in a complete list is lost with a bad field. Of a host that is not known such an entry is left out.
+    An invalid field of a known host's entry is replaced by its known value, so that an invalid field hides
+    neither a drain nor the host's presence in a complete list. Invalid entries of unknown hosts are skipped.
     """
 
     def __init__(
         self,
         settings_message: SettingsMessage,
-        known: Callable[[str], ListedEndpoint | None] = _nothing_known,
+        known: Callable[[str], ListedEndpoint | None] = _no_known_entry,
     ) -> None:
-        """Takes the zones and kinds of the settings; `known` returns the entry in use for a host's id."""
+        """Creates a decoder for the zones and kinds of the settings.
+
+        `known` returns the entry in use for a host's id, None if the host is unknown.
+        """
         self._zones = {name: n for n, name in enumerate(settings_message.zones or ())}
         self._kinds = {name: n for n, name in enumerate(settings_message.kinds or ())}
         self._known = known
         self._decoder = msgspec.json.Decoder(EndpointListMessage)
 
     def decode(self, value: bytes) -> WatchEvent:
-        """One JSON object of discovery. Raises EndpointListError if nothing of it can be read."""
-        unreadable: tuple[str, ...] = ()
+        """Decodes one JSON object of discovery.
+
+        Raises:
+            EndpointListError: The object around the entries is invalid too.
+        """
+        undecodable: tuple[str, ...] = ()
         try:
             message = self._decoder.decode(value)
         except DECODE_ERRORS as error:
-            message, unreadable = self._decode_entries(value, str(error))
+            message, undecodable = self._decode_entries(value, str(error))
         event = self.to_event(message, UpdateScope.SNAPSHOT if message.full else UpdateScope.DELTA)
-        if unreadable:
-            event = msgspec.structs.replace(event, skipped=(event.skipped + unreadable)[:MAX_SKIPPED])
+        if undecodable:
+            event = msgspec.structs.replace(event, skipped=(event.skipped + undecodable)[:MAX_SKIPPED])
         return event
 
     def to_event(self, message: EndpointListMessage, scope: UpdateScope) -> WatchEvent:
-        """The message as an update of the given scope. Of two entries with one id the later counts."""
+        """Converts the message to an update of the scope; of several entries with one id the last is used."""
         entries: dict[str, ListedEndpoint] = {}
         skipped = []
         for server in message.servers:
-            usable = self._usable(server)
-            if usable is not server or server.id in entries:
+            entry = self._repair_entry(server)
+            if entry is not server or server.id in entries:
                 skipped.append(server.id[:SKIPPED_LENGTH])
-            if usable is not None:
-                entries[server.id] = usable
+            if entry is not None:
+                entries[server.id] = entry
         return WatchEvent(
             update=EndpointUpdate(scope, tuple(map(self._to_endpoint, entries.values())), message.version),
             addresses={server.id: server.addr for server in entries.values() if server.addr},
@@ -147,8 +154,11 @@
             messages=tuple(entries.values()),
         )
 
-    def _usable(self, server: ListedEndpoint) -> ListedEndpoint | None:
-        """The entry, with what is known of the host in place of what can't be used; None if nothing is."""
+    def _repair_entry(self, server: ListedEndpoint) -> ListedEndpoint | None:
+        """Returns the entry with known values in place of invalid ones.
+
+        Returns a valid entry unchanged, and None for an invalid entry of an unknown host.
+        """
         state_valid = server.state in STATES
         kind_valid = server.kind in self._kinds or not self._kinds
         address_valid = is_valid_address(server.addr)
@@ -165,12 +175,13 @@
         )
 
     def _decode_entries(self, value: bytes, reason: str) -> _PartialList:
-        """Decodes each entry on its own, so that an invalid one does not hide the others, drains among them.
+        """Decodes each entry on its own, so that an invalid entry does not hide the others and their drains.
 
-        Raises EndpointListError, with `reason`, where the object around the entries can't be decoded either.
+        Raises:
+            EndpointListError: The object around the entries is invalid too; the text is `reason`.
         """
         servers = []
-        unreadable = []
+        undecodable = []
         try:
             message = msgspec.json.decode(value, type=UndecodedListMessage)
         except DECODE_ERRORS:
@@ -179,14 +190,17 @@
             try:
                 servers.append(msgspec.json.decode(entry, type=ListedEndpoint))
             except DECODE_ERRORS:
-                unreadable.append(bytes(entry)[:SKIPPED_LENGTH].decode("latin-1"))
-                servers += self._known_part(entry)
+                undecodable.append(bytes(entry)[:SKIPPED_LENGTH].decode("latin-1"))
+                servers += self._partial_entry(entry)
         return _PartialList(
-            EndpointListMessage(message.version, message.full, servers), tuple(unreadable[:MAX_SKIPPED])
+            EndpointListMessage(message.version, message.full, servers), tuple(undecodable[:MAX_SKIPPED])
         )
 
-    def _known_part(self, entry: msgspec.Raw) -> list[ListedEndpoint]:
-        """What an unreadable entry means for a known host: its new state, if that much can be read."""
+    def _partial_entry(self, entry: msgspec.Raw) -> list[ListedEndpoint]:
+        """Returns a known host's entry with the new state, as far as the invalid entry states it.
+
+        The result is empty if the entry's id can't be decoded or belongs to no known host.
+        """
         try:
             identity = msgspec.json.decode(entry, type=EntryIdentity)
         except DECODE_ERRORS:
@@ -210,43 +224,44 @@
 
 
 class JsonObjectSplitter:
-    """Splits a stream of JSON objects, cut anywhere, into the objects; b"" stands for an empty line.
+    """Splits a byte stream into JSON objects and empty lines; an empty line is yielded as b"".
 
-    Objects may be indented, several in one read or one in many, so the end of a line does not end an object.
-    Each byte is looked at once: a stream that is cut at every byte costs no more than one that is not.
+    Objects may be indented, so a line end does not end an object; one read may have several objects or a
+    part of one. Each byte is scanned once, so that data that arrives byte by byte costs no more per byte.
     """
 
     def __init__(self) -> None:
-        """Starts between two objects."""
-        self._parts: list[bytes] = []  # of the object that has begun
+        """Creates a splitter that expects an object or an empty line."""
+        self._parts: list[bytes] = []  # of the incomplete object
         self._size = 0
         self._depth = 0
         self._in_string = False
         self._escaped = False
-        self._object_on_line = False  # an object ended on this line: the line's end is no empty line
+        self._object_on_line = False  # the current line has a part of an object, so it is not empty
 
     def feed(self, data: memoryview | bytes) -> Iterator[bytes]:
-        """The objects and empty lines that `data` completes.
+        """Yields the objects and empty lines that `data` completes.
 
-        Raises EndpointListError for bytes that can't begin an object and for more than MAX_OBJECT_BYTES.
+        Raises:
+            EndpointListError: Bytes between objects can't begin one, or an object exceeds MAX_OBJECT_BYTES.
         """
         raw = bytes(data)
-        at = 0
-        while at < len(raw):
+        index = 0
+        while index < len(raw):
             if not self._depth:
-                begin = raw.find(b"{", at)
-                yield from self._between(raw[at : begin if begin >= 0 else len(raw)])
+                begin = raw.find(b"{", index)
+                yield from self._empty_lines(raw[index : begin if begin >= 0 else len(raw)])
                 if begin < 0:
                     return
-                at = begin + 1
+                index = begin + 1
                 self._begin_object()
-            end = self._scan(raw, at)
-            self._append(raw[at:end])
-            at = end
+            end = self._scan_object(raw, index)
+            self._append(raw[index:end])
+            index = end
             if not self._depth:
-                complete = b"".join(self._parts)
+                json_object = b"".join(self._parts)
                 self._parts = []
-                yield complete
+                yield json_object
 
     def _begin_object(self) -> None:
         self._depth = 1
@@ -258,36 +273,36 @@
         self._parts.append(part)
         self._size += len(part)
         if self._size > MAX_OBJECT_BYTES:
-            raise EndpointListError(f"a list of more than {MAX_OBJECT_BYTES} bytes")
+            raise EndpointListError(f"endpoint list exceeds {MAX_OBJECT_BYTES} bytes")
 
-    def _between(self, raw: bytes) -> Iterator[bytes]:
+    def _empty_lines(self, raw: bytes) -> Iterator[bytes]:
         if raw.strip():
-            raise EndpointListError(f"no list: {raw.strip()[:40]!r}")
+            raise EndpointListError(f"not a JSON object: {raw.strip()[:40]!r}")
         for _ in range(raw.count(b"\n")):
             if not self._object_on_line:
                 yield b""
             self._object_on_line = False
 
-    def _scan(self, raw: bytes, at: int) -> int:
-        """The index after the end of the object that has begun, or after all of `raw`."""
-        if self._escaped and at < len(raw):
-            at += 1
+    def _scan_object(self, raw: bytes, index: int) -> int:
+        """Returns the index after the end of the incomplete object, or after all of `raw`."""
+        if self._escaped and index < len(raw):
+            index += 1
             self._escaped = False
-        while at < len(raw):
-            found = (INSIDE_STRING if self._in_string else OUTSIDE_STRING).search(raw, at)
-            if found is None:
+        while index < len(raw):
+            special_byte = (INSIDE_STRING if self._in_string else OUTSIDE_STRING).search(raw, index)
+            if special_byte is None:
                 return len(raw)
-            at = found.end()
-            match found.group():
+            index = special_byte.end()
+            match special_byte.group():
                 case b'"':
                     self._in_string = not self._in_string
                 case b"\\":
-                    self._escaped = at == len(raw)
-                    at += 1
+                    self._escaped = index == len(raw)
+                    index += 1
                 case b"{" | b"[":
                     self._depth += 1
                 case _:
                     self._depth -= 1
                     if not self._depth:
-                        return at
+                        return index
         return len(raw)
--- a/violetstack/protocol/json_errors.py
+++ b/violetstack/protocol/json_errors.py
@@ -1,8 +1,8 @@
-"""The errors with which msgspec refuses JSON that another party has sent."""
+"""The exceptions that msgspec raises when it decodes JSON from clients, hosts and peers."""
 
 from __future__ import annotations
 
 import msgspec
 
 DECODE_ERRORS: tuple[type[Exception], ...] = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
-"""Invalid JSON, or of another form; text that is not UTF-8; arrays and objects that nest too deeply."""
+"""Raised for invalid JSON or JSON of another schema, for text that is not UTF-8, and for too deep nesting."""
--- a/violetstack/rehearsal/clients.py
+++ b/violetstack/rehearsal/clients.py
@@ -32,7 +32,7 @@
 
     @property
     def events(self) -> list[bytes]:
-        return [sse.payload(event) for event in sse.Splitter().feed(memoryview(self.body))]
+        return [sse.payload(event) for event in sse.EventSplitter().feed(memoryview(self.body))]
 
     @property
     def json(self) -> Any:
