--- a/tests/test_fault_campaign.py
+++ b/tests/test_fault_campaign.py
@@ -13,8 +13,8 @@
 from violetstack.policy_api import Idempotency, Role
 from violetstack.rehearsal.fleet.campaign import play_case
 from violetstack.rehearsal.fleet.campaign_faults import (
-    CLIENT_ACTS,
-    ClientAct,
+    CLIENT_DISCONNECTS,
+    ClientDisconnect,
     EnvironmentFault,
     HostFault,
     ScriptSource,
@@ -85,21 +85,23 @@
     for _ in range(50):
         one = first.draw()
         other = second.draw()
-        assert (one.client_act, one.habit, one.host_faults) == (
-            other.client_act,
-            other.habit,
+        assert (one.client_disconnect, one.behaviour, one.host_faults) == (
+            other.client_disconnect,
+            other.behaviour,
             other.host_faults,
         )
 
 
 def test_scripts_pair_each_end_of_a_client_with_each_fault_of_a_host() -> None:
-    drawn: set[tuple[ClientAct, HostFault]] = set()
+    drawn: set[tuple[ClientDisconnect, HostFault]] = set()
     for seed in SEEDS:
         source = ScriptSource(seed)
         for script in (source.draw() for _ in range(60)):
-            drawn.update((script.client_act, fault) for fault in script.host_faults if script.client_act)
+            drawn.update(
+                (script.client_disconnect, fault) for fault in script.host_faults if script.client_disconnect
+            )
     faults = [fault for fault in HostFault if fault is not HostFault.NONE]
-    assert drawn >= set(product(CLIENT_ACTS, faults))
+    assert drawn >= set(product(CLIENT_DISCONNECTS, faults))
 
 
 def test_environments_bring_every_fault_in_time() -> None:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,8 +15,8 @@
 
 from violetstack.commands import soak as soak_command
 from violetstack.rehearsal.fleet.campaign_faults import (
-    WRITES_BEHIND,
-    ClientHabit,
+    SENDS_DURING_STREAM,
+    ClientBehaviour,
     EnvironmentFault,
     ScriptSource,
 )
@@ -64,7 +64,9 @@
     events = draw_soak(3, DURATION_S, 24, 6)
     for event in events:
         others = [each for each in events if each is not event]
-        overlapping += any(o.at <= event.at + event.lasts_s and event.at <= o.at + o.lasts_s for o in others)
+        overlapping += any(
+            o.at <= event.at + event.duration_s and event.at <= o.at + o.duration_s for o in others
+        )
     assert overlapping >= 0.8 * len(events)
 
 
@@ -79,9 +81,9 @@
 def test_clients_that_go_on_with_a_connection_come_up() -> None:
     source = ScriptSource(1)
     scripts = [source.draw() for _ in range(400)]
-    habits = {script.habit for script in scripts}
-    assert habits == set(ClientHabit)
-    assert any(script.reads_slowly and script.habit in WRITES_BEHIND for script in scripts)
+    behaviours = {script.behaviour for script in scripts}
+    assert behaviours == set(ClientBehaviour)
+    assert any(script.reads_slowly and script.behaviour in SENDS_DURING_STREAM for script in scripts)
 
 
 class FailingRehearsal:
--- a/violetstack/commands/soak.py
+++ b/violetstack/commands/soak.py
@@ -59,7 +59,7 @@
 
 
 def _describe(event: SoakEvent) -> str:
-    return f"{event.at:.2f} s {event.fault.value} at {event.target} for {event.lasts_s:.1f} s"
+    return f"{event.at:.2f} s {event.fault.value} at {event.target} for {event.duration_s:.1f} s"
 
 
 class SoakTotals:
--- a/violetstack/rehearsal/fleet/campaign_client.py
+++ b/violetstack/rehearsal/fleet/campaign_client.py
@@ -12,11 +12,11 @@
 
 from violetstack.config import Address
 from violetstack.rehearsal.fleet.campaign_faults import (
-    ClientEnd,
-    ClientHabit,
+    DisconnectMethod,
+    ClientBehaviour,
     RequestScript,
-    Stage,
-    client_act_name,
+    RequestStage,
+    client_disconnect_name,
 )
 from violetstack.rehearsal.fleet.freeze_gate import reset
 from violetstack.rehearsal.fleet.minimal_http import connect
@@ -132,7 +132,7 @@
         """
         not_accepted: NotAcceptedError | None = None
         async with trio.open_nursery() as nursery:
-            if self._script.client_act is not None:
+            if self._script.client_disconnect is not None:
                 nursery.start_soon(self._leave)
             if self._behind is not None:
                 nursery.start_soon(self._write_behind, self._behind)
@@ -158,16 +158,16 @@
 
     async def _write_behind(self, behind: RequestBehind) -> None:
         """Writes on the connection while the stream goes on, a whole request or half of one."""
-        await self._script.reached[Stage.STREAMING].wait()
-        await trio.sleep(self._script.behind_s)
+        await self._script.reached[RequestStage.STREAMING].wait()
+        await trio.sleep(self._script.second_request_delay_s)
         data = behind.encode()
-        if self._script.habit is ClientHabit.SENDS_HALF:
+        if self._script.behaviour is ClientBehaviour.SENDS_HALF_REQUEST_DURING_STREAM:
             data = data[: len(data) // 2]
         if self._ended or self.reusable:
             return
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await self.connection.stream.send_all(data)
-            if self._script.habit is ClientHabit.SENDS_AGAIN:
+            if self._script.behaviour is ClientBehaviour.SENDS_REQUEST_DURING_STREAM:
                 behind.exchange.sent_at = self._clock()
 
     async def _write(self) -> None:
@@ -178,25 +178,27 @@
         if self._exchange.waits_for is not None:
             return  # it was written behind another
         data = head + body
-        if self._script.habit is ClientHabit.CONNECTS_EARLY and not self._exchange.reused_connection:
+        if self._script.behaviour is ClientBehaviour.CONNECTS_EARLY and not self._exchange.reused_connection:
             await self._rest()
-        in_pieces = self._script.habit is ClientHabit.IN_PIECES or self._leaves_at(Stage.HEAD_IN_PIECES)
+        in_pieces = self._script.behaviour is ClientBehaviour.SENDS_IN_FRAGMENTS or self._leaves_at(
+            RequestStage.SENDING_HEAD
+        )
         if in_pieces:
             for end in (len(head) // 3, len(head) - 2):
                 await self.connection.stream.send_all(data[:end])
                 data = data[end:]
-                self._script.reach(Stage.HEAD_IN_PIECES)
+                self._script.reach(RequestStage.SENDING_HEAD)
                 await trio.sleep(PIECE_PAUSE_S)
-        if self._leaves_at(Stage.HEAD_IN_PIECES):
+        if self._leaves_at(RequestStage.SENDING_HEAD):
             with trio.move_on_after(INCOMPLETE_S):
                 await self._read_until(lambda: False)
             return
-        if self._script.habit is ClientHabit.PIPELINED:
+        if self._script.behaviour is ClientBehaviour.PIPELINES_READY_REQUESTS:
             data += READY_REQUEST * PIPELINED_COPIES
         await self.connection.stream.send_all(data)
         self._exchange.sent_at = self._clock()
-        self._script.reach(Stage.QUEUED)
-        self._script.reach(Stage.WAITING)
+        self._script.reach(RequestStage.QUEUED)
+        self._script.reach(RequestStage.WAITING)
 
     async def _rest(self) -> None:
         """Rests before its first request; a connection that the dispatcher has ended is not written to."""
@@ -205,8 +207,8 @@
         if self.connection.stream.socket.is_readable():
             raise NotAcceptedError("the connection ended before its first request")
 
-    def _leaves_at(self, stage: Stage) -> bool:
-        return self._script.client_act is not None and self._script.client_act[0] is stage
+    def _leaves_at(self, stage: RequestStage) -> bool:
+        return self._script.client_disconnect is not None and self._script.client_disconnect[0] is stage
 
     # --- reading ---
 
@@ -265,9 +267,12 @@
 
     def _after_answer(self) -> None:
         http = self.connection.http
-        if self._script.habit in (ClientHabit.PIPELINED, ClientHabit.SENDS_HALF):
+        if self._script.behaviour in (
+            ClientBehaviour.PIPELINES_READY_REQUESTS,
+            ClientBehaviour.SENDS_HALF_REQUEST_DURING_STREAM,
+        ):
             return
-        if self._script.habit is not ClientHabit.SENDS_AGAIN:
+        if self._script.behaviour is not ClientBehaviour.SENDS_REQUEST_DURING_STREAM:
             self._exchange.surplus, _ = http.trailing_data
         self.reusable = http.our_state is h11.DONE and http.their_state is h11.DONE
 
@@ -285,20 +290,20 @@
     # --- leaving ---
 
     async def _leave(self) -> None:
-        act = self._script.client_act
-        assert act is not None
-        stage, end = act
+        disconnect = self._script.client_disconnect
+        assert disconnect is not None
+        stage, method = disconnect
         await self._script.reached[stage].wait()
-        await trio.sleep(self._script.jitter_s)
+        await trio.sleep(self._script.disconnect_delay_s)
         if self._exchange.answered_at is not None or self._exchange.server_closed_at is not None:
             return
-        self._script.fired.add(client_act_name(act))
+        self._script.occurred_faults.add(client_disconnect_name(disconnect))
         self._exchange.client_closed_at = self._clock()
-        if end is ClientEnd.HALF_CLOSE:
+        if method is DisconnectMethod.HALF_CLOSE:
             with suppress(OSError):
                 self.connection.stream.socket.shutdown(socket.SHUT_WR)
             return
-        if end is ClientEnd.RESET:
+        if method is DisconnectMethod.RESET:
             reset(self.connection.stream.socket)
         else:
             self.connection.close()
--- a/violetstack/rehearsal/fleet/campaign_environment.py
+++ b/violetstack/rehearsal/fleet/campaign_environment.py
@@ -34,7 +34,7 @@
         elif event.fault.name.startswith("DISCOVERY"):
             await self._befall_discovery(event)
         elif event.fault is EnvironmentFault.DESCRIPTORS_FULL:
-            await self._flood(self._state.dispatchers[event.target], event.lasts_s)
+            await self._flood(self._state.dispatchers[event.target], event.duration_s)
         else:
             await self._signal(self._state.dispatchers[event.target], event)
         self._state.spans.append(FaultSpan(event.fault, event.target, began, self._state.now()))
@@ -44,46 +44,46 @@
         match event.fault:
             case EnvironmentFault.HOST_REFUSES:
                 host.refuse()
-                await trio.sleep(event.lasts_s)
+                await trio.sleep(event.duration_s)
                 host.accept_again()
             case EnvironmentFault.HOST_CONNECTS_LATE | EnvironmentFault.HOST_NEVER_CONNECTS:
                 host.stop_connecting()
                 host.hang_up()
-                await trio.sleep(event.lasts_s)
+                await trio.sleep(event.duration_s)
                 host.connect_again()
             case _:
                 host.state = "leaving"
                 for agent in self._state.all_agents:
                     agent.tell(host.row())
-                await trio.sleep(event.lasts_s)
+                await trio.sleep(event.duration_s)
 
     async def _befall_discovery(self, event: EnvironmentEvent) -> None:
         agent = self._state.agents[event.target]
         if event.fault is EnvironmentFault.DISCOVERY_COMPLETE_LISTS:
-            for _ in range(int(event.lasts_s / COMPLETE_LIST_INTERVAL_S)):
+            for _ in range(int(event.duration_s / COMPLETE_LIST_INTERVAL_S)):
                 agent.tell_complete(self._state.rows())
                 await trio.sleep(COMPLETE_LIST_INTERVAL_S)
             return
         if event.fault is EnvironmentFault.DISCOVERY_RESET:
             agent.hang_up()
-            await trio.sleep(event.lasts_s)
+            await trio.sleep(event.duration_s)
             return
         modes = {EnvironmentFault.DISCOVERY_SILENT: "silent", EnvironmentFault.DISCOVERY_LATE: "slow"}
         agent.mode = modes.get(event.fault, "")
         agent.hang_up()
-        await trio.sleep(event.lasts_s)
+        await trio.sleep(event.duration_s)
         agent.mode = ""
         agent.hang_up()
 
-    async def _flood(self, dispatcher: Dispatcher, lasts_s: float) -> None:
+    async def _flood(self, dispatcher: Dispatcher, duration_s: float) -> None:
         """Idle clients take every descriptor that they can get."""
         dispatcher.flood_begins(self._state.now())
         streams = []
-        with trio.move_on_after(lasts_s):
+        with trio.move_on_after(duration_s):
             for _ in range(IDLE_FLOOD):
                 with suppress(OSError):
                     streams.append(await connect(dispatcher.program.at))
-            await trio.sleep(lasts_s)
+            await trio.sleep(duration_s)
         for stream in streams:
             stream.socket.close()
         dispatcher.flood_ends(self._state.now() + FLOOD_AFTERMATH_S)
@@ -99,8 +99,8 @@
                 | EnvironmentFault.SIGSTOP_LONG
                 | EnvironmentFault.SIGSTOP_OVER_STREAM_TIMEOUT
             ):
-                await self._processes.pause(dispatcher, event.lasts_s)
+                await self._processes.pause(dispatcher, event.duration_s)
             case EnvironmentFault.SIGKILL:
-                await self._processes.kill(dispatcher, event.lasts_s)
+                await self._processes.kill(dispatcher, event.duration_s)
             case _:
                 await self._processes.restart(dispatcher)
--- a/violetstack/rehearsal/fleet/campaign_faults.py
+++ b/violetstack/rehearsal/fleet/campaign_faults.py
@@ -11,19 +11,19 @@
 import trio
 
 
-class Stage(Enum):
+class RequestStage(Enum):
     """How far a request has come when its client acts."""
 
-    HEAD_IN_PIECES = "head in pieces"
+    SENDING_HEAD = "head in pieces"
     QUEUED = "queued in the kernel"
     WAITING = "waiting"
     PREFILL_IN_FLIGHT = "prefill in flight"
-    BETWEEN = "between prefill and decode"
+    BETWEEN_PREFILL_AND_DECODE = "between prefill and decode"
     DECODE_IN_FLIGHT = "decode in flight"
     STREAMING = "streaming"
 
 
-class ClientEnd(Enum):
+class DisconnectMethod(Enum):
     """How a client leaves."""
 
     CLOSE = "close"
@@ -31,31 +31,33 @@
     RESET = "reset"
 
 
-class ClientHabit(Enum):
+class ClientBehaviour(Enum):
     """How a client writes its request."""
 
     PLAIN = "plain"
-    IN_PIECES = "in pieces"
+    SENDS_IN_FRAGMENTS = "in pieces"
     LARGE_BODY = "large body"
-    PIPELINED = "pipelined"
+    PIPELINES_READY_REQUESTS = "pipelined"
     CONNECTS_EARLY = "connects early"
-    SENDS_AGAIN = "sends again while its stream goes on"
-    SENDS_HALF = "sends half a request while its stream goes on"
-    ASKS_AGAIN = "asks again right behind the end"
+    SENDS_REQUEST_DURING_STREAM = "sends again while its stream goes on"
+    SENDS_HALF_REQUEST_DURING_STREAM = "sends half a request while its stream goes on"
+    SENDS_NEXT_REQUEST_AT_ONCE = "asks again right behind the end"
 
 
-WRITES_BEHIND = frozenset({ClientHabit.SENDS_AGAIN, ClientHabit.SENDS_HALF})
+SENDS_DURING_STREAM = frozenset(
+    {ClientBehaviour.SENDS_REQUEST_DURING_STREAM, ClientBehaviour.SENDS_HALF_REQUEST_DURING_STREAM}
+)
 """Habits of clients that write on a connection whose stream goes on."""
 SLOW_READER_SHARE = 0.3
-SOUND_HABITS = (
-    ClientHabit.PLAIN,
-    ClientHabit.PLAIN,
-    ClientHabit.PLAIN,
-    ClientHabit.PLAIN,
-    ClientHabit.SENDS_AGAIN,
-    ClientHabit.SENDS_HALF,
-    ClientHabit.ASKS_AGAIN,
-    ClientHabit.ASKS_AGAIN,
+FAULT_FREE_BEHAVIOURS = (
+    ClientBehaviour.PLAIN,
+    ClientBehaviour.PLAIN,
+    ClientBehaviour.PLAIN,
+    ClientBehaviour.PLAIN,
+    ClientBehaviour.SENDS_REQUEST_DURING_STREAM,
+    ClientBehaviour.SENDS_HALF_REQUEST_DURING_STREAM,
+    ClientBehaviour.SENDS_NEXT_REQUEST_AT_ONCE,
+    ClientBehaviour.SENDS_NEXT_REQUEST_AT_ONCE,
 )
 """Of clients whose requests meet no fault of their own."""
 LONG_STREAM_SHARE = 0.5
@@ -76,8 +78,8 @@
     RESET_AFTER_EVENT = "reset after the first event"
     HANG_AFTER_EVENT = "hang after the first event"
     SECOND_RESPONSE = "second response"
-    SPOILT_HEAD = "spoilt head"
-    SPOILT_STREAM = "spoilt stream"
+    MALFORMED_HEAD = "spoilt head"
+    MALFORMED_CHUNK = "spoilt stream"
     ENDLESS_HEAD = "endless head"
     ENDLESS_CHUNK = "endless chunk"
     STATE_GONE = "state gone"
@@ -109,20 +111,20 @@
     {
         HostFault.RESET_AFTER_EVENT,
         HostFault.HANG_AFTER_EVENT,
-        HostFault.SPOILT_STREAM,
+        HostFault.MALFORMED_CHUNK,
         HostFault.ENDLESS_CHUNK,
     }
 )
 """The stream that the client gets is not complete."""
 
-JITTERS_S = (0.0, 0.0, 0.0, 0.001, 0.004, 0.015, 0.06)
+DISCONNECT_DELAYS_S = (0.0, 0.0, 0.0, 0.001, 0.004, 0.015, 0.06)
 """Between a stage and the client's end."""
-ClientAct = tuple[Stage, ClientEnd]
-CLIENT_ACTS: tuple[ClientAct, ...] = tuple(product(Stage, ClientEnd))
-PLAIN_SHARE = 0.45
+ClientDisconnect = tuple[RequestStage, DisconnectMethod]
+CLIENT_DISCONNECTS: tuple[ClientDisconnect, ...] = tuple(product(RequestStage, DisconnectMethod))
+FAULT_FREE_SHARE = 0.45
 """Of requests that meet no fault of their own: they are to be served beside the others."""
-CLIENT_ACT_SHARE = 0.5
-SECOND_FAULT_SHARE = 0.3
+CLIENT_DISCONNECT_SHARE = 0.5
+FURTHER_FAULT_SHARE = 0.3
 
 
 @dataclass
@@ -132,20 +134,22 @@
     Attributes:
         host_faults: By attempt number at hosts, prefills included; later attempts meet none.
         reached: Set by the host or client that takes the request to the stage.
-        fired: Names of the faults that took place.
+        occurred_faults: Names of the faults that took place.
         reads_slowly: The client takes little at a time, and its stream is longer.
-        behind_s: After the first event, until it writes on the connection again.
+        second_request_delay_s: After the first event, until it writes on the connection again.
     """
 
-    client_act: ClientAct | None
-    habit: ClientHabit
+    client_disconnect: ClientDisconnect | None
+    behaviour: ClientBehaviour
     host_faults: tuple[HostFault, ...]
-    jitter_s: float
-    reached: dict[Stage, trio.Event] = field(default_factory=lambda: {stage: trio.Event() for stage in Stage})
-    fired: set[str] = field(default_factory=set)
+    disconnect_delay_s: float
+    reached: dict[RequestStage, trio.Event] = field(
+        default_factory=lambda: {stage: trio.Event() for stage in RequestStage}
+    )
+    occurred_faults: set[str] = field(default_factory=set)
     attempts_begun: int = 0
     reads_slowly: bool = False
-    behind_s: float = 0.0
+    second_request_delay_s: float = 0.0
 
     def next_host_fault(self) -> HostFault:
         """The fault of the attempt that begins now."""
@@ -153,7 +157,7 @@
         self.attempts_begun += 1
         return self.host_faults[number] if number < len(self.host_faults) else HostFault.NONE
 
-    def reach(self, stage: Stage) -> None:
+    def reach(self, stage: RequestStage) -> None:
         self.reached[stage].set()
 
 
@@ -162,14 +166,14 @@
     """A fault of the environment, `target` being a dispatcher's or a host's number."""
 
     at: float
-    lasts_s: float
+    duration_s: float
     fault: EnvironmentFault
     target: int
 
 
-def client_act_name(act: ClientAct) -> str:
-    stage, end = act
-    return f"client {end.value}, {stage.value}"
+def client_disconnect_name(disconnect: ClientDisconnect) -> str:
+    stage, method = disconnect
+    return f"client {method.value}, {stage.value}"
 
 
 class ScriptSource:
@@ -177,52 +181,52 @@
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(f"scripts {seed}")
-        pairs = list(product(CLIENT_ACTS, [each for each in HostFault if each is not HostFault.NONE]))
+        pairs = list(product(CLIENT_DISCONNECTS, [each for each in HostFault if each is not HostFault.NONE]))
         random.Random("pairs").shuffle(pairs)
-        self._pairs: Sequence[tuple[ClientAct, HostFault]] = pairs
+        self._pairs: Sequence[tuple[ClientDisconnect, HostFault]] = pairs
         self._next = seed * 31 % len(pairs)
 
     def draw(self) -> RequestScript:
         rng = self._rng
-        if rng.random() < PLAIN_SHARE:
-            return self._draw_sound()
-        act, fault = self._pairs[self._next % len(self._pairs)]
+        if rng.random() < FAULT_FREE_SHARE:
+            return self._draw_fault_free()
+        disconnect, fault = self._pairs[self._next % len(self._pairs)]
         self._next += 1
-        habit = rng.choice((ClientHabit.PLAIN, ClientHabit.PLAIN, *ClientHabit))
+        behaviour = rng.choice((ClientBehaviour.PLAIN, ClientBehaviour.PLAIN, *ClientBehaviour))
         return RequestScript(
-            client_act=act if rng.random() < CLIENT_ACT_SHARE else None,
-            habit=habit,
-            host_faults=self._place(fault),
-            jitter_s=rng.choice(JITTERS_S),
+            client_disconnect=disconnect if rng.random() < CLIENT_DISCONNECT_SHARE else None,
+            behaviour=behaviour,
+            host_faults=self._draw_host_faults(fault),
+            disconnect_delay_s=rng.choice(DISCONNECT_DELAYS_S),
             reads_slowly=rng.random() < SLOW_READER_SHARE,
-            behind_s=rng.random(),
+            second_request_delay_s=rng.random(),
         )
 
-    def _draw_sound(self) -> RequestScript:
+    def _draw_fault_free(self) -> RequestScript:
         """No fault of its own; some clients go on with the connection, and some of their streams are long."""
         rng = self._rng
-        habit = rng.choice(SOUND_HABITS)
-        long_stream = habit is not ClientHabit.PLAIN and rng.random() < LONG_STREAM_SHARE
+        behaviour = rng.choice(FAULT_FREE_BEHAVIOURS)
+        long_stream = behaviour is not ClientBehaviour.PLAIN and rng.random() < LONG_STREAM_SHARE
         return RequestScript(
-            client_act=None,
-            habit=habit,
+            client_disconnect=None,
+            behaviour=behaviour,
             host_faults=(HostFault.LONG_STREAM, HostFault.LONG_STREAM) if long_stream else (),
-            jitter_s=0.0,
+            disconnect_delay_s=0.0,
             reads_slowly=rng.random() < SLOW_READER_SHARE,
-            behind_s=rng.random(),
+            second_request_delay_s=rng.random(),
         )
 
-    def _place(self, fault: HostFault) -> tuple[HostFault, ...]:
+    def _draw_host_faults(self, fault: HostFault) -> tuple[HostFault, ...]:
         """At the first attempt (a prefill, if there are prefill hosts) or the second, and often at others."""
         rng = self._rng
         others = [each for each in HostFault if each is not HostFault.SLOW]
         faults = [HostFault.NONE] * rng.randint(0, 1) + [fault]
-        while rng.random() < SECOND_FAULT_SHARE:
+        while rng.random() < FURTHER_FAULT_SHARE:
             faults.append(rng.choice(others))
         return tuple(faults)
 
 
-LASTS_S = {
+FAULT_DURATIONS_S = {
     EnvironmentFault.SIGSTOP_SHORT: 0.3,
     EnvironmentFault.SIGSTOP_LONG: 1.2,
     EnvironmentFault.SIGSTOP_OVER_STREAM_TIMEOUT: 4.6,
@@ -230,7 +234,7 @@
     EnvironmentFault.DESCRIPTORS_FULL: 1.5,
     EnvironmentFault.HOST_CONNECTS_LATE: 0.5,
 }
-DEFAULT_LASTS_S = 1.5
+DEFAULT_FAULT_DURATION_S = 1.5
 
 
 def draw_environment(seed: int, duration_s: float, dispatchers: int, hosts: int) -> list[EnvironmentEvent]:
@@ -243,8 +247,10 @@
     events = []
     at = 0.3 + rng.random() * 0.5
     for fault in chosen[: max(1, min(3, int(duration_s)))]:
-        process_or_discovery = not fault.name.startswith("HOST")
-        target = rng.randrange(dispatchers if process_or_discovery else hosts)
-        events.append(EnvironmentEvent(at, LASTS_S.get(fault, DEFAULT_LASTS_S), fault, target))
+        targets_dispatcher = not fault.name.startswith("HOST")
+        target = rng.randrange(dispatchers if targets_dispatcher else hosts)
+        events.append(
+            EnvironmentEvent(at, FAULT_DURATIONS_S.get(fault, DEFAULT_FAULT_DURATION_S), fault, target)
+        )
         at += rng.choice((0.0, 0.15, 0.6))
     return events
--- a/violetstack/rehearsal/fleet/campaign_host.py
+++ b/violetstack/rehearsal/fleet/campaign_host.py
@@ -16,7 +16,7 @@
     STREAM_FAULTS,
     HostFault,
     RequestScript,
-    Stage,
+    RequestStage,
 )
 from violetstack.rehearsal.fleet.campaign_settings import HostPlan
 from violetstack.rehearsal.fleet.freeze_gate import FreezeGate, has_ended, reset
@@ -261,7 +261,7 @@
         self._holds.begun(attempt)
         if script is not None:
             is_prefill = self.plan.role is Role.PREFILL
-            script.reach(Stage.PREFILL_IN_FLIGHT if is_prefill else Stage.DECODE_IN_FLIGHT)
+            script.reach(RequestStage.PREFILL_IN_FLIGHT if is_prefill else RequestStage.DECODE_IN_FLIGHT)
         try:
             await self._until_closed(wire, attempt, lambda: self._respond(wire, attempt, fault, script))
         finally:
@@ -307,7 +307,7 @@
 
     def _fire(self, script: RequestScript | None, fault: HostFault) -> None:
         if script is not None:
-            script.fired.add(f"host {fault.value}")
+            script.occurred_faults.add(f"host {fault.value}")
 
     # --- responses ---
 
@@ -329,7 +329,7 @@
             await self._answer(wire, 202, PREFILLED_BODY)
             attempt.closed_at = self._clock()
             if script is not None:
-                script.reach(Stage.BETWEEN)
+                script.reach(RequestStage.BETWEEN_PREFILL_AND_DECODE)
         else:
             await self._stream(wire, attempt, fault, script)
         await self._after_response(wire, fault, is_prefill)
@@ -354,7 +354,7 @@
                 raise Ended
             case HostFault.CLOSE_BEFORE_EVENT:
                 raise Ended
-            case HostFault.SPOILT_HEAD:
+            case HostFault.MALFORMED_HEAD:
                 await wire.send(b"HTTP/9.9 banana\r\n:::\r\n\r\n")
                 await trio.sleep(0.2)
                 raise Ended
@@ -381,7 +381,7 @@
         first = _event(f"{attempt.request_id}@{self.name}#{len(self._evidence.attempts)}:0")
         await self._write_events(wire, attempt, first, STREAM_HEAD)
         if script is not None:
-            script.reach(Stage.STREAMING)
+            script.reach(RequestStage.STREAMING)
         if fault is HostFault.RESET_AFTER_EVENT:
             await trio.sleep(pause_s)
             reset(wire.stream.socket)
@@ -407,7 +407,7 @@
     async def _spoil(self, wire: Wire, attempt: HostAttempt, fault: HostFault) -> None:
         if fault is HostFault.HANG_AFTER_EVENT:
             await trio.sleep_forever()
-        if fault is HostFault.SPOILT_STREAM:
+        if fault is HostFault.MALFORMED_CHUNK:
             await wire.send(b"zz\r\nnot a chunk\r\n")
             await trio.sleep_forever()
         if fault is HostFault.ENDLESS_CHUNK:
--- a/violetstack/rehearsal/fleet/campaign_processes.py
+++ b/violetstack/rehearsal/fleet/campaign_processes.py
@@ -122,12 +122,12 @@
         self.start(dispatcher)
         await self.await_ready(dispatcher)
 
-    async def pause(self, dispatcher: Dispatcher, lasts_s: float) -> None:
+    async def pause(self, dispatcher: Dispatcher, duration_s: float) -> None:
         program = dispatcher.program
         if program.process is None or program.process.poll() is not None:
             return
         program.send(signal.SIGSTOP)
-        ends_at = self._state.now() + lasts_s
+        ends_at = self._state.now() + duration_s
         while self._state.now() < ends_at:
             for exchange in self._state.open.values():
                 if exchange.dispatcher == program.number:
--- a/violetstack/rehearsal/fleet/campaign_requests.py
+++ b/violetstack/rehearsal/fleet/campaign_requests.py
@@ -19,8 +19,8 @@
     RequestBehind,
 )
 from violetstack.rehearsal.fleet.campaign_faults import (
-    WRITES_BEHIND,
-    ClientHabit,
+    SENDS_DURING_STREAM,
+    ClientBehaviour,
     RequestScript,
     ScriptSource,
 )
@@ -125,7 +125,7 @@
         finally:
             if behind is not None:
                 del self._state.open[behind.exchange.id]
-        if script.habit is ClientHabit.ASKS_AGAIN and call.reusable:
+        if script.behaviour is ClientBehaviour.SENDS_NEXT_REQUEST_AT_ONCE and call.reusable:
             call = await self._ask_again(rng, call, exchange, dispatcher)
         if self._crossed_close(exchange, call):
             dispatcher, call = await self._resend(exchange, message, rng)
@@ -137,10 +137,10 @@
     def _request_behind(
         self, rng: random.Random, exchange: ClientExchange, script: RequestScript, dispatcher: Dispatcher
     ) -> RequestBehind | None:
-        """What the client writes on the connection while its stream goes on, if that is its habit."""
-        if script.habit not in WRITES_BEHIND:
+        """What the client writes on the connection while its stream goes on, if that is its behaviour."""
+        if script.behaviour not in SENDS_DURING_STREAM:
             return None
-        plain = RequestScript(None, ClientHabit.PLAIN, (), 0.0, reads_slowly=script.reads_slowly)
+        plain = RequestScript(None, ClientBehaviour.PLAIN, (), 0.0, reads_slowly=script.reads_slowly)
         second = self._new_exchange(rng, f"{exchange.id}b", plain, dispatcher)
         second.waits_for = exchange
         return RequestBehind(second, self._new_message(rng, second, plain))
@@ -166,7 +166,7 @@
         self, rng: random.Random, call: ClientCall, first: ClientExchange, dispatcher: Dispatcher
     ) -> ClientCall:
         """Asks once more on the connection in the moment in which its answer has ended."""
-        script = RequestScript(None, ClientHabit.PLAIN, (), 0.0, reads_slowly=first.reads_slowly)
+        script = RequestScript(None, ClientBehaviour.PLAIN, (), 0.0, reads_slowly=first.reads_slowly)
         second = self._new_exchange(rng, f"{first.id}n", script, dispatcher)
         second.reused_connection = True
         message = self._new_message(rng, second, script)
@@ -247,7 +247,7 @@
             exchange.excused = "descriptors full"
 
     def _body(self, rng: random.Random, script: RequestScript) -> bytes:
-        size = LARGE_BODY_BYTES if script.habit is ClientHabit.LARGE_BODY else rng.randint(200, 4000)
+        size = LARGE_BODY_BYTES if script.behaviour is ClientBehaviour.LARGE_BODY else rng.randint(200, 4000)
         return b'{"model":"chat","stream":true,"messages":[{"role":"user","content":"%b"}]}' % (b"x" * size)
 
     def _headers(self, rng: random.Random, exchange: ClientExchange, length: int) -> list[tuple[str, str]]:
--- a/violetstack/rehearsal/fleet/campaign_result.py
+++ b/violetstack/rehearsal/fleet/campaign_result.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from violetstack.rehearsal.fleet.campaign_faults import ClientHabit, EnvironmentEvent
+from violetstack.rehearsal.fleet.campaign_faults import ClientBehaviour, EnvironmentEvent
 from violetstack.rehearsal.fleet.campaign_state import CaseState
 from violetstack.rehearsal.fleet.soak_faults import SoakEvent
 from violetstack.rehearsal.fleet.socket_audit import ClientExchange, Violation, audit
@@ -154,7 +154,7 @@
         shown = [f"{at:.3f} {text}" for at, text in sorted(rows)]
         if script is not None:
             faults = ", ".join(fault.value for fault in script.host_faults)
-            shown.append(f"script: {script.client_act}, {script.habit.value}, hosts: {faults}")
+            shown.append(f"script: {script.client_disconnect}, {script.behaviour.value}, hosts: {faults}")
         return shown
 
     def _pairs(self) -> set[tuple[str, str]]:
@@ -162,9 +162,9 @@
         found: set[tuple[str, str]] = set()
         for request_id, exchange in self._state.evidence.exchanges.items():
             script = self._state.scripts[request_id]
-            own = sorted(script.fired)
-            if script.habit is not ClientHabit.PLAIN and exchange.sent_at is not None:
-                own.append(f"client {script.habit.value}")
+            own = sorted(script.occurred_faults)
+            if script.behaviour is not ClientBehaviour.PLAIN and exchange.sent_at is not None:
+                own.append(f"client {script.behaviour.value}")
             found.update((min(pair), max(pair)) for pair in combinations(own, 2))
             around = [
                 fault.value
--- a/violetstack/rehearsal/fleet/soak_environment.py
+++ b/violetstack/rehearsal/fleet/soak_environment.py
@@ -40,13 +40,13 @@
 RESTARTS = frozenset({EnvironmentFault.SIGTERM, EnvironmentFault.SIGKILL})
 
 
-async def _keep_machine_busy(lasts_s: float) -> None:
+async def _keep_machine_busy(duration_s: float) -> None:
     """Other programs take processor time: one for every second processor."""
     programs = []
     try:
         for _ in range(max(1, len(os.sched_getaffinity(0)) // 2)):
             programs.append(_start_busy_program())  # noqa: PERF401 - each has to be ended, whatever fails
-        await trio.sleep(lasts_s)
+        await trio.sleep(duration_s)
     finally:
         for program in programs:
             program.kill()
@@ -119,7 +119,7 @@
         self._state.spans.append(FaultSpan(event.fault, event.target, began, self._state.now()))
 
     async def _befall_as_campaign(self, event: SoakEvent, fault: EnvironmentFault) -> None:
-        campaign_event = EnvironmentEvent(event.at, event.lasts_s, fault, event.target)
+        campaign_event = EnvironmentEvent(event.at, event.duration_s, fault, event.target)
         if fault not in RESTARTS:
             await self._campaign.befall(campaign_event)
             return
@@ -134,18 +134,18 @@
                 await self._hang_host(event)
             case SoakFault.HOST_FREEZES_AND_BEGINS | SoakFault.HOST_FREEZES_AND_RESETS:
                 resets = fault is SoakFault.HOST_FREEZES_AND_RESETS
-                await self._freeze([self._state.hosts[event.target]], event.lasts_s, resets=resets)
+                await self._freeze([self._state.hosts[event.target]], event.duration_s, resets=resets)
             case SoakFault.HOST_HALF_FREEZE:
                 hosts = self._state.hosts[event.target % 2 :: 2]
-                await self._freeze(hosts, event.lasts_s, resets=bool(event.target % 2))
+                await self._freeze(hosts, event.duration_s, resets=bool(event.target % 2))
             case SoakFault.HOST_VANISHES:
-                await self._vanish(self._state.hosts[event.target], event.lasts_s)
+                await self._vanish(self._state.hosts[event.target], event.duration_s)
             case SoakFault.SIGNAL_SERIES:
                 await self._send_signal_series(event)
             case SoakFault.CROWD:
-                await self._crowd(self._state.dispatchers[event.target], event.lasts_s)
+                await self._crowd(self._state.dispatchers[event.target], event.duration_s)
             case SoakFault.BUSY_MACHINE:
-                await _keep_machine_busy(event.lasts_s)
+                await _keep_machine_busy(event.duration_s)
             case SoakFault.LOG_STALLS:
                 await self._stall_log(event)
             case SoakFault.RELOADS:
@@ -161,22 +161,22 @@
         """Connections come up no more, and what is open stays open and silent."""
         host = self._state.hosts[event.target]
         host.hanging = True
-        await trio.sleep(event.lasts_s)
+        await trio.sleep(event.duration_s)
         host.hanging = False
 
-    async def _freeze(self, hosts: list[CampaignHost], lasts_s: float, *, resets: bool) -> None:
+    async def _freeze(self, hosts: list[CampaignHost], duration_s: float, *, resets: bool) -> None:
         """They take connections and bytes and begin nothing."""
         for host in hosts:
             host.freeze()
-        await trio.sleep(lasts_s)
+        await trio.sleep(duration_s)
         for host in hosts:
             host.thaw(resets=resets)
 
-    async def _vanish(self, host: CampaignHost, lasts_s: float) -> None:
+    async def _vanish(self, host: CampaignHost, duration_s: float) -> None:
         """Open connections fall silent, new ones do not come up; all are reset once the host is back."""
         host.freeze()
         host.stop_connecting()
-        await trio.sleep(lasts_s)
+        await trio.sleep(duration_s)
         host.connect_again()
         host.thaw(resets=True)
 
@@ -191,11 +191,11 @@
             await trio.sleep(rng.random() * SERIES_PAUSE_S)
             await self._processes.restart(dispatcher)
 
-    async def _crowd(self, dispatcher: Dispatcher, lasts_s: float) -> None:
+    async def _crowd(self, dispatcher: Dispatcher, duration_s: float) -> None:
         """New connections all the time, each with half a request and no more, over restarts as well."""
         dispatcher.flood_begins(self._state.now())
         streams: list[trio.SocketStream] = []
-        ends_at = self._state.now() + lasts_s
+        ends_at = self._state.now() + duration_s
         while self._state.now() < ends_at:
             with suppress(OSError, trio.BrokenResourceError):
                 stream = await connect(dispatcher.program.at)
@@ -209,7 +209,7 @@
     async def _stall_log(self, event: SoakEvent) -> None:
         pipe = self._pipes[event.target]
         pipe.stall()
-        await trio.sleep(event.lasts_s)
+        await trio.sleep(event.duration_s)
         pipe.go_on()
 
     async def _reload(self, dispatcher: Dispatcher) -> None:
@@ -240,7 +240,7 @@
         if fault is SoakFault.CLOCK_STEPPED_OVER_RESTART:
             async with self._restarting[event.target]:
                 await self._processes.restart(self._state.dispatchers[event.target])
-        await trio.sleep(event.lasts_s)
+        await trio.sleep(event.duration_s)
         faults.step_wall_clock(0.0)
 
     async def _fail_calls(self, event: SoakEvent, failing: FailingCall) -> None:
@@ -249,7 +249,7 @@
             return
         call, error, period = failing.value
         faults.fail(call, error, period)
-        await trio.sleep(event.lasts_s)
+        await trio.sleep(event.duration_s)
         faults.stop_failing(call)
         if call in CALLS_THAT_CONNECT:
             self._state.excuse_holds(event.target, self._state.now() + FLOOD_AFTERMATH_S)
--- a/violetstack/rehearsal/fleet/soak_faults.py
+++ b/violetstack/rehearsal/fleet/soak_faults.py
@@ -7,7 +7,11 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from violetstack.rehearsal.fleet.campaign_faults import DEFAULT_LASTS_S, LASTS_S, EnvironmentFault
+from violetstack.rehearsal.fleet.campaign_faults import (
+    DEFAULT_FAULT_DURATION_S,
+    FAULT_DURATIONS_S,
+    EnvironmentFault,
+)
 from violetstack.rehearsal.fleet.fault_shim import Call
 
 
@@ -61,7 +65,7 @@
     POLL_ENOMEM = (Call.POLL, errno.ENOMEM, 2)
 
 
-SOAK_LASTS_S = {
+SOAK_FAULT_DURATIONS_S = {
     SoakFault.CLOCK_FORWARD: 3.0,
     SoakFault.CLOCK_BACK: 3.0,
     SoakFault.LOG_STALLS: 4.0,
@@ -90,7 +94,7 @@
     """A trouble, `target` being a dispatcher's or a host's number."""
 
     at: float
-    lasts_s: float
+    duration_s: float
     fault: Fault
     target: int
 
@@ -113,7 +117,7 @@
         dispatcher = rng.randrange(dispatchers)
         if restarts:
             fault = rng.choice(RESTART_FAULTS)
-            events.append(SoakEvent(at + rng.random() * 0.6, lasts_s(fault), fault, dispatcher))
+            events.append(SoakEvent(at + rng.random() * 0.6, fault_duration_s(fault), fault, dispatcher))
         for _ in range(rng.choice((2, 2, 3))):
             queue = queue or list(faults)
             fault = queue.pop()
@@ -121,13 +125,13 @@
                 target = rng.randrange(hosts)
             else:
                 target = dispatcher if rng.random() < SAME_TARGET_CHANCE else rng.randrange(dispatchers)
-            events.append(SoakEvent(at + rng.random() * 0.6, lasts_s(fault), fault, target))
+            events.append(SoakEvent(at + rng.random() * 0.6, fault_duration_s(fault), fault, target))
         at += rng.uniform(*WAVE_S)
     return events
 
 
-def lasts_s(fault: Fault) -> float:
+def fault_duration_s(fault: Fault) -> float:
     """For how long the fault is in force, in seconds."""
     if isinstance(fault, SoakFault):
-        return SOAK_LASTS_S.get(fault, DEFAULT_LASTS_S)
-    return LASTS_S.get(fault, DEFAULT_LASTS_S)
+        return SOAK_FAULT_DURATIONS_S.get(fault, DEFAULT_FAULT_DURATION_S)
+    return FAULT_DURATIONS_S.get(fault, DEFAULT_FAULT_DURATION_S)
