--- a/tests/frozen_hosts.py
+++ b/tests/frozen_hosts.py
@@ -15,7 +15,7 @@
 import trio
 
 from violetstack.protocol.http_server import HttpRequest
-from violetstack.rehearsal.fleet.freeze_gate import has_ended
+from violetstack.rehearsal.fleet.freeze_gate import peer_has_closed
 from violetstack.rehearsal.fleet.hold_audit import HoldEvidence, HostRecord
 from violetstack.rehearsal.hosts import ERROR, SERVE, ModelHost
 from violetstack.rehearsal.peer import Break, PeerConnection
@@ -211,4 +211,4 @@
     """Returns whether the peer has closed the connection."""
     stream = connection.stream
     assert isinstance(stream, trio.SocketStream)
-    return has_ended(stream.socket)
+    return peer_has_closed(stream.socket)
--- a/tests/test_socket_audit.py
+++ b/tests/test_socket_audit.py
@@ -99,7 +99,7 @@
     run.decode.zone = zone
     run.decode.cell = cell
     run.decode.arrived_at = first.arrived_at + after_s
-    run.decode.told_deadline_s = 0.5
+    run.decode.received_deadline_s = 0.5
     run.exchange.first_byte_at = run.decode.arrived_at + 0.01
     return run
 
@@ -140,7 +140,7 @@
 
 
 def answered_twice(run: Run) -> None:
-    run.exchange.surplus = b"HTTP/1.1 503"
+    run.exchange.trailing_bytes = b"HTTP/1.1 503"
 
 
 def read_and_resent(run: Run) -> None:
@@ -221,7 +221,7 @@
 
 
 def told_too_much(run: Run) -> None:
-    run.decode.told_deadline_s = 2.0
+    run.decode.received_deadline_s = 2.0
 
 
 def forwarded_after_drain(run: Run) -> None:
@@ -240,10 +240,10 @@
         (late, Rule.LATE_ANSWER),
         (answered_twice, Rule.SECOND_ANSWER),
         (read_and_resent, Rule.CLOSED_UNANSWERED),
-        (other_stream, Rule.FOREIGN_STREAM),
-        (spliced_stream, Rule.FOREIGN_STREAM),
-        (ended_for_the_host, Rule.FALSE_END),
-        (ended_early, Rule.FALSE_END),
+        (other_stream, Rule.UNMATCHED_STREAM),
+        (spliced_stream, Rule.UNMATCHED_STREAM),
+        (ended_for_the_host, Rule.FALSE_COMPLETION),
+        (ended_early, Rule.FALSE_COMPLETION),
         (cut, Rule.TRUNCATED),
         (cut_while_events_come, Rule.TRUNCATED),
         (left_waiting, Rule.SILENT_STREAM),
@@ -253,7 +253,7 @@
         (forwarded_after_disconnect, Rule.AFTER_DISCONNECT),
         (forwarded_after_answer, Rule.AFTER_ANSWER),
         (rest_delivered_late, Rule.LATE_DELIVERY),
-        (told_too_much, Rule.DEADLINE),
+        (told_too_much, Rule.DEADLINE_TOO_LONG),
         (forwarded_after_drain, Rule.AFTER_DRAIN),
         (hedged, Rule.HEDGED),
     ],
@@ -266,7 +266,7 @@
 
 def test_within_its_slack_nothing_is_broken() -> None:
     run = served()
-    run.decode.told_deadline_s = 1.94
+    run.decode.received_deadline_s = 1.94
     run.exchange.client_closed_at = 1.11
     run.exchange.waited_until = 1.11
     run.evidence.drains[(0, "d0")] = [0.93]
@@ -275,7 +275,7 @@
 
 def test_the_observers_own_lag_is_no_violation() -> None:
     run = served()
-    run.decode.told_deadline_s = 2.0
+    run.decode.received_deadline_s = 2.0
     run.evidence.lag_s = 0.06
     assert rules(run) == []
 
@@ -300,7 +300,7 @@
     run = served()
     late(run)
     first = ClientExchange("first", 0, 0, 2.0, sent_at=0.9, answered_at=run.exchange.answered_at)
-    run.exchange.waits_for = first
+    run.exchange.pipelined_after = first
     assert rules(run) == []
     first.answered_at = 1.0
     assert rules(run) == [Rule.LATE_ANSWER]
--- a/violetstack/rehearsal/fleet/campaign_client.py
+++ b/violetstack/rehearsal/fleet/campaign_client.py
@@ -12,30 +12,30 @@
 
 from violetstack.config import Address
 from violetstack.rehearsal.fleet.campaign_faults import (
-    DisconnectMethod,
     ClientBehaviour,
+    DisconnectMethod,
     RequestScript,
     RequestStage,
     client_disconnect_name,
 )
-from violetstack.rehearsal.fleet.freeze_gate import reset
+from violetstack.rehearsal.fleet.freeze_gate import reset_connection
 from violetstack.rehearsal.fleet.minimal_http import connect
 from violetstack.rehearsal.fleet.socket_audit import ClientExchange
 
 READ_SIZE = 64 * 1024
-MAX_STREAM_S = 7.0
+MAX_STREAM_DURATION_S = 7.0
 """No stream here takes longer; one that its host stopped is to be cut by then."""
-PATIENCE_S = 0.5
+LATE_ANSWER_WAIT_S = 0.5
 """After the time at which an answer is lost, to tell a late one from none."""
-PIECE_PAUSE_S = 0.03
+FRAGMENT_PAUSE_S = 0.03
 CONNECT_TIMEOUT_S = 3.0
 READY_REQUEST = b"GET /-/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
-PIPELINED_COPIES = 40
+PIPELINED_READY_REQUESTS = 40
 SLOW_RECEIVE_BUFFER = 4096
 SLOW_READ_SIZE = 1000
 SLOW_READ_PAUSE_S = 0.02
 """A client that reads slowly takes 50 KB a second."""
-INCOMPLETE_S = 3.0
+INCOMPLETE_REQUEST_WAIT_S = 3.0
 """For how long a client reads on that has ended its sending within its request."""
 
 
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class RequestBehind:
+class PipelinedRequest:
     """A request that is written on a connection whose stream goes on."""
 
     exchange: ClientExchange
@@ -97,8 +97,8 @@
         message: ClientMessage,
         clock: Callable[[], float],
         *,
-        rest_s: float = 0.0,
-        behind: RequestBehind | None = None,
+        idle_s: float = 0.0,
+        pipelined: PipelinedRequest | None = None,
     ) -> None:
         """Takes what the client sends.
 
@@ -108,8 +108,8 @@
             script: What befalls the request.
             message: The request.
             clock: Seconds of the run.
-            rest_s: How long a client that connects early rests before its request.
-            behind: What it writes while its stream goes on.
+            idle_s: How long a client that connects early rests before its request.
+            pipelined: What it writes while its stream goes on.
         """
         self.connection = connection
         self._exchange = exchange
@@ -117,10 +117,10 @@
         self._message = message
         self._clock = clock
         self._scope = trio.CancelScope()
-        self._rest_s = rest_s
-        self._behind = behind
+        self._idle_s = idle_s
+        self._pipelined = pipelined
         self.reusable = False
-        self.rested = False
+        self.idled = False
         """The connection was idle before its first request."""
         self._ended = False
 
@@ -133,19 +133,19 @@
         not_accepted: NotAcceptedError | None = None
         async with trio.open_nursery() as nursery:
             if self._script.client_disconnect is not None:
-                nursery.start_soon(self._leave)
-            if self._behind is not None:
-                nursery.start_soon(self._write_behind, self._behind)
+                nursery.start_soon(self._disconnect)
+            if self._pipelined is not None:
+                nursery.start_soon(self._send_pipelined, self._pipelined)
             with self._scope:
                 try:
-                    await self._write()
+                    await self._send_request()
                     if self._exchange.sent_at is not None:
-                        await self._read()
+                        await self._read_answer()
                 except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-                    self._server_closed()
+                    self._record_server_close()
                 except h11.RemoteProtocolError as error:
-                    self._exchange.surplus += f"no HTTP: {error}".encode()
-                    self._server_closed()
+                    self._exchange.trailing_bytes += f"no HTTP: {error}".encode()
+                    self._record_server_close()
                 except NotAcceptedError as error:
                     not_accepted = error
             nursery.cancel_scope.cancel()
@@ -156,11 +156,11 @@
 
     # --- writing ---
 
-    async def _write_behind(self, behind: RequestBehind) -> None:
+    async def _send_pipelined(self, pipelined: PipelinedRequest) -> None:
         """Writes on the connection while the stream goes on, a whole request or half of one."""
         await self._script.reached[RequestStage.STREAMING].wait()
         await trio.sleep(self._script.second_request_delay_s)
-        data = behind.encode()
+        data = pipelined.encode()
         if self._script.behaviour is ClientBehaviour.SENDS_HALF_REQUEST_DURING_STREAM:
             data = data[: len(data) // 2]
         if self._ended or self.reusable:
@@ -168,72 +168,75 @@
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await self.connection.stream.send_all(data)
             if self._script.behaviour is ClientBehaviour.SENDS_REQUEST_DURING_STREAM:
-                behind.exchange.sent_at = self._clock()
+                pipelined.exchange.sent_at = self._clock()
 
-    async def _write(self) -> None:
+    async def _send_request(self) -> None:
         http = self.connection.http
         head = http.send(self._message.request) or b""
         body = http.send(h11.Data(data=self._message.body)) or b""
         http.send(h11.EndOfMessage())
-        if self._exchange.waits_for is not None:
+        if self._exchange.pipelined_after is not None:
             return  # it was written behind another
         data = head + body
         if self._script.behaviour is ClientBehaviour.CONNECTS_EARLY and not self._exchange.reused_connection:
-            await self._rest()
-        in_pieces = self._script.behaviour is ClientBehaviour.SENDS_IN_FRAGMENTS or self._leaves_at(
+            await self._stay_idle()
+        in_fragments = self._script.behaviour is ClientBehaviour.SENDS_IN_FRAGMENTS or self._disconnects_at(
             RequestStage.SENDING_HEAD
         )
-        if in_pieces:
+        if in_fragments:
             for end in (len(head) // 3, len(head) - 2):
                 await self.connection.stream.send_all(data[:end])
                 data = data[end:]
                 self._script.reach(RequestStage.SENDING_HEAD)
-                await trio.sleep(PIECE_PAUSE_S)
-        if self._leaves_at(RequestStage.SENDING_HEAD):
-            with trio.move_on_after(INCOMPLETE_S):
+                await trio.sleep(FRAGMENT_PAUSE_S)
+        if self._disconnects_at(RequestStage.SENDING_HEAD):
+            with trio.move_on_after(INCOMPLETE_REQUEST_WAIT_S):
                 await self._read_until(lambda: False)
             return
         if self._script.behaviour is ClientBehaviour.PIPELINES_READY_REQUESTS:
-            data += READY_REQUEST * PIPELINED_COPIES
+            data += READY_REQUEST * PIPELINED_READY_REQUESTS
         await self.connection.stream.send_all(data)
         self._exchange.sent_at = self._clock()
         self._script.reach(RequestStage.QUEUED)
         self._script.reach(RequestStage.WAITING)
 
-    async def _rest(self) -> None:
+    async def _stay_idle(self) -> None:
         """Rests before its first request; a connection that the dispatcher has ended is not written to."""
-        self.rested = True
-        await trio.sleep(self._rest_s)
+        self.idled = True
+        await trio.sleep(self._idle_s)
         if self.connection.stream.socket.is_readable():
             raise NotAcceptedError("the connection ended before its first request")
 
-    def _leaves_at(self, stage: RequestStage) -> bool:
+    def _disconnects_at(self, stage: RequestStage) -> bool:
         return self._script.client_disconnect is not None and self._script.client_disconnect[0] is stage
 
     # --- reading ---
 
-    async def _read(self) -> None:
+    async def _read_answer(self) -> None:
         exchange = self._exchange
         while (
-            exchange.committed_at is None and (left_s := exchange.lost_at + PATIENCE_S - self._clock()) > 0.0
+            exchange.committed_at is None
+            and (left_s := exchange.latest_answer_at + LATE_ANSWER_WAIT_S - self._clock()) > 0.0
         ):
             with trio.move_on_after(left_s):
                 await self._read_until(lambda: exchange.committed_at is not None)
             if self._ended:
                 break
         if exchange.status == 200 and exchange.committed_at is not None:
-            while exchange.answered_at is None and (left_s := self._stream_over_at() - self._clock()) > 0.0:
+            while (
+                exchange.answered_at is None and (left_s := self._stream_time_limit() - self._clock()) > 0.0
+            ):
                 with trio.move_on_after(left_s):
                     await self._read_until(lambda: exchange.answered_at is not None)
                 if self._ended:
                     break
         exchange.waited_until = self._clock()
 
-    def _stream_over_at(self) -> float:
+    def _stream_time_limit(self) -> float:
         """When its stream should have ended, however its host and its dispatcher fared."""
-        began_at = self._exchange.first_byte_at
-        assert began_at is not None
-        return max(began_at, self._exchange.paused_until) + MAX_STREAM_S
+        stream_began_at = self._exchange.first_byte_at
+        assert stream_began_at is not None
+        return max(stream_began_at, self._exchange.paused_until) + MAX_STREAM_DURATION_S
 
     async def _read_until(self, done: Callable[[], bool]) -> None:
         while not done() and not self._ended:
@@ -242,9 +245,9 @@
                 data = await self._receive()
                 self.connection.http.receive_data(bytes(data))
                 if not data:
-                    self._ended_by_close()
+                    self._handle_eof()
                 continue
-            self._take(event)
+            self._handle_event(event)
 
     async def _receive(self) -> bytes | bytearray:
         if not self._script.reads_slowly:
@@ -252,7 +255,7 @@
         await trio.sleep(SLOW_READ_PAUSE_S)
         return await self.connection.stream.receive_some(SLOW_READ_SIZE)
 
-    def _take(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         exchange = self._exchange
         if isinstance(event, h11.Response):
             exchange.status = event.status_code
@@ -263,9 +266,9 @@
         elif isinstance(event, h11.EndOfMessage):
             exchange.complete = True
             exchange.answered_at = self._clock()
-            self._after_answer()
+            self._check_reusable()
 
-    def _after_answer(self) -> None:
+    def _check_reusable(self) -> None:
         http = self.connection.http
         if self._script.behaviour in (
             ClientBehaviour.PIPELINES_READY_REQUESTS,
@@ -273,23 +276,23 @@
         ):
             return
         if self._script.behaviour is not ClientBehaviour.SENDS_REQUEST_DURING_STREAM:
-            self._exchange.surplus, _ = http.trailing_data
+            self._exchange.trailing_bytes, _ = http.trailing_data
         self.reusable = http.our_state is h11.DONE and http.their_state is h11.DONE
 
-    def _ended_by_close(self) -> None:
+    def _handle_eof(self) -> None:
         """The end of the connection is the end of an answer without a length, and breaks any other."""
         with suppress(h11.RemoteProtocolError):
-            self._take(self.connection.http.next_event())
-        self._server_closed()
+            self._handle_event(self.connection.http.next_event())
+        self._record_server_close()
 
-    def _server_closed(self) -> None:
+    def _record_server_close(self) -> None:
         self._ended = True
         if self._exchange.client_closed_at is None and self._exchange.server_closed_at is None:
             self._exchange.server_closed_at = self._clock()
 
     # --- leaving ---
 
-    async def _leave(self) -> None:
+    async def _disconnect(self) -> None:
         disconnect = self._script.client_disconnect
         assert disconnect is not None
         stage, method = disconnect
@@ -304,7 +307,7 @@
                 self.connection.stream.socket.shutdown(socket.SHUT_WR)
             return
         if method is DisconnectMethod.RESET:
-            reset(self.connection.stream.socket)
+            reset_connection(self.connection.stream.socket)
         else:
             self.connection.close()
         self._scope.cancel()
--- a/violetstack/rehearsal/fleet/campaign_environment.py
+++ b/violetstack/rehearsal/fleet/campaign_environment.py
@@ -43,14 +43,14 @@
         host = self._state.hosts[event.target]
         match event.fault:
             case EnvironmentFault.HOST_REFUSES:
-                host.refuse()
+                host.refuse_connections()
                 await trio.sleep(event.duration_s)
-                host.accept_again()
+                host.stop_refusing()
             case EnvironmentFault.HOST_CONNECTS_LATE | EnvironmentFault.HOST_NEVER_CONNECTS:
                 host.stop_connecting()
                 host.hang_up()
                 await trio.sleep(event.duration_s)
-                host.connect_again()
+                host.resume_connecting()
             case _:
                 host.state = "leaving"
                 for agent in self._state.all_agents:
--- a/violetstack/rehearsal/fleet/campaign_host.py
+++ b/violetstack/rehearsal/fleet/campaign_host.py
@@ -19,8 +19,8 @@
     RequestStage,
 )
 from violetstack.rehearsal.fleet.campaign_settings import HostPlan
-from violetstack.rehearsal.fleet.freeze_gate import FreezeGate, has_ended, reset
-from violetstack.rehearsal.fleet.host_holds import UNCERTAIN_AFTER_S, HostHolds
+from violetstack.rehearsal.fleet.freeze_gate import FreezeGate, peer_has_closed, reset_connection
+from violetstack.rehearsal.fleet.host_holds import UNCERTAIN_AFTER_S, HoldRecorder
 from violetstack.rehearsal.fleet.minimal_http import LAST, Ended, Wire, chunk, message
 from violetstack.rehearsal.fleet.socket_audit import Evidence, HostAttempt
 from violetstack.rehearsal.peer import Peer
@@ -29,22 +29,22 @@
 PREFILLED_BODY = b'{"cached_tokens":0}'
 STREAM_EVENTS = 4
 LONG_STREAM_EVENTS = 30
-LONG_STREAM_S = 3.0
-SLOW_S = 0.4
-BACKLOG = 128
-QUEUE_FILLERS = 3
-QUEUED_S = 0.5
-"""Connections that are accepted this soon after `connect_again` may have come up before."""
-STALL_S = 0.45
+LONG_STREAM_DURATION_S = 3.0
+SLOW_RESPONSE_DELAY_S = 0.4
+LISTEN_BACKLOG = 128
+ACCEPT_QUEUE_FILLERS = 3
+QUEUED_CONNECTION_S = 0.5
+"""Connections that are accepted this soon after `resume_connecting` may have come up before."""
+READ_STALL_S = 0.45
 RECEIVE_BUFFER_BYTES = 64 * 1024
 """Small, so that a host that does not read stops the dispatcher in the middle of a large request."""
 SECOND_RESPONSE_DELAYS_S = (0.0, 0.002, 0.01, 0.05)
 SLOW_READER_PADDING = "x" * 5000
 """In each event for a client that reads slowly: the stream does not fit into its buffer."""
-ENDLESS_FOR_S = 8.0
-LEAVES_STATE = frozenset({HostFault.RESET_BEFORE_EVENT, HostFault.CLOSE_BEFORE_EVENT})
+ENDLESS_SEND_S = 8.0
+STATE_LEAVING_FAULTS = frozenset({HostFault.RESET_BEFORE_EVENT, HostFault.CLOSE_BEFORE_EVENT})
 """A prefill that ends so may have ended well. What a prefill leaves that was given up goes by itself."""
-ENDED_BY_ANSWER = frozenset({HostFault.DECLINE, HostFault.STATE_GONE, HostFault.ERROR})
+FAULTS_ANSWERED_BY_STATUS = frozenset({HostFault.DECLINE, HostFault.STATE_GONE, HostFault.ERROR})
 """The attempt is over before its answer is written: what follows from the answer finds it ended."""
 
 
@@ -79,12 +79,12 @@
         self._evidence = evidence
         self._scripts = scripts
         self._clock = clock
-        self._holds = HostHolds(evidence.holds, plan.name, clock)
+        self._hold_recorder = HoldRecorder(evidence.holds, plan.name, clock)
         self._rng = random.Random(f"host {seed} {plan.name}")
         self._health_checks = health_checks
         self._load_report = load_report
         self._port = 0
-        self._fillers: list[socket.socket] = []
+        self._filler_sockets: list[socket.socket] = []
         self._listening: trio.socket.SocketType
         self._stopped_at: float | None = None
         self._resumed_at = 0.0
@@ -107,50 +107,52 @@
     async def _accept_all(self, nursery: trio.Nursery) -> None:
         while True:
             sock, _ = await self._listening.accept()
-            queued = self._stopped_at is not None and self._clock() < self._resumed_at + QUEUED_S
-            nursery.start_soon(self._accepted, trio.SocketStream(sock), self._stopped_at if queued else None)
+            queued = self._stopped_at is not None and self._clock() < self._resumed_at + QUEUED_CONNECTION_S
+            nursery.start_soon(
+                self._serve_connection, trio.SocketStream(sock), self._stopped_at if queued else None
+            )
 
     def _listen(self) -> None:
         raw = socket.socket()
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         raw.bind(("127.0.0.1", self._port))
-        raw.listen(BACKLOG)
+        raw.listen(LISTEN_BACKLOG)
         raw.setblocking(False)
         self._port = raw.getsockname()[1]
         self.address = f"127.0.0.1:{self._port}"
         self._listening = trio.socket.from_stdlib_socket(raw)
 
-    def refuse(self) -> None:
+    def refuse_connections(self) -> None:
         """New connections are refused, and those that are open break."""
         self.die()
         self._listening.close()
 
-    def accept_again(self) -> None:
-        """Ends `refuse`."""
+    def stop_refusing(self) -> None:
+        """Ends `refuse_connections`."""
         self._listen()
         self._resumed.set()
 
     def stop_connecting(self) -> None:
-        """New connections do not come up until `connect_again`: the queue of the listening socket is full."""
+        """New connections do not come up until `resume_connecting`: the queue of the listening socket is full."""
         self._accepting.cancel()
         self._stopped_at = self._clock()
         if self._listening.fileno() < 0:
             return  # it refuses at the moment
         self._listening.listen(0)
-        for _ in range(QUEUE_FILLERS):
+        for _ in range(ACCEPT_QUEUE_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self._port))
-            self._fillers.append(filler)
+            self._filler_sockets.append(filler)
 
-    def connect_again(self) -> None:
+    def resume_connecting(self) -> None:
         """Ends `stop_connecting`; connections that wait come up with their next SYN."""
-        for filler in self._fillers:
+        for filler in self._filler_sockets:
             filler.close()
-        self._fillers.clear()
+        self._filler_sockets.clear()
         if self._listening.fileno() >= 0:
-            self._listening.listen(BACKLOG)
+            self._listening.listen(LISTEN_BACKLOG)
         self._resumed_at = self._clock()
         self._resumed.set()
 
@@ -172,14 +174,14 @@
 
     # --- connections ---
 
-    async def _accepted(self, raw: trio.SocketStream, queued_since: float | None) -> None:
+    async def _serve_connection(self, raw: trio.SocketStream, queued_since: float | None) -> None:
         """`queued_since`: what lies in the socket may have come at any time since then."""
         with trio.CancelScope() as scope:
             self.connections.add(scope)
             try:
                 wire = Wire(raw)
                 while True:
-                    await self._request(wire, queued_since)
+                    await self._serve_request(wire, queued_since)
                     queued_since = None
             except (Ended, OSError, trio.ClosedResourceError, trio.BrokenResourceError):
                 pass
@@ -187,51 +189,51 @@
                 self.connections.discard(scope)
                 raw.socket.close()
 
-    async def _request(self, wire: Wire, queued_since: float | None) -> None:
-        words, headers = await wire.head()
+    async def _serve_request(self, wire: Wire, queued_since: float | None) -> None:
+        start_line, headers = await wire.head()
         frozen_since = await self._gate.wait(wire)
         if frozen_since is not None:
             queued_since = frozen_since
-        method, path = words[0], words[1]
+        method, path = start_line[0], start_line[1]
         if path.startswith("/-/"):
             await self._answer(wire, 200 if self._health_checks else 404)
         elif path.startswith("/state/"):
-            await self._state_call(wire, method, path.removeprefix("/state/"))
+            await self._serve_state_call(wire, method, path.removeprefix("/state/"))
         else:
-            await self._attempt(wire, headers, queued_since)
+            await self._serve_attempt(wire, headers, queued_since)
 
-    async def _state_call(self, wire: Wire, method: str, request_id: str) -> None:
+    async def _serve_state_call(self, wire: Wire, method: str, request_id: str) -> None:
         if method == "DELETE":
-            self._holds.release_taken(request_id)
+            self._hold_recorder.release_taken(request_id)
             await self._answer(wire, 204)
             return
         status = self._rng.choice((200, 200, 200, 409, 204))
         if status != 409:
-            self._holds.slot_reserved(request_id)
-        if status == 200 and not await self._holds.prefill_begins(request_id):
+            self._hold_recorder.slot_reserved(request_id)
+        if status == 200 and not await self._hold_recorder.wait_for_prefill(request_id):
             await self._answer(wire, 204)
             return
         if status == 204:
             await trio.sleep(UNCERTAIN_AFTER_S)
         await self._answer(wire, status)
 
-    async def _attempt(self, wire: Wire, headers: dict[str, str], queued_since: float | None) -> None:
+    async def _serve_attempt(self, wire: Wire, headers: dict[str, str], queued_since: float | None) -> None:
         request_id = headers.get("req-id", "")
         script = self._scripts.get(request_id)
         fault = script.next_host_fault() if script is not None else HostFault.NONE
         if self.hanging:
             fault = HostFault.HANG
         if fault is HostFault.RESET_WHILE_READING:
-            self._fire(script, fault)
-            reset(wire.stream.socket)
+            self._record_fault(script, fault)
+            reset_connection(wire.stream.socket)
             raise Ended
         arrived_at = self._earliest_arrival(request_id, queued_since)
         head_at = self._clock() if arrived_at is None else arrived_at
         length = int(headers.get("content-length", 0))
         if fault is HostFault.STALL_WHILE_READING:
-            self._fire(script, fault)
+            self._record_fault(script, fault)
             stalled_at = self._clock()
-            await trio.sleep(STALL_S)
+            await trio.sleep(READ_STALL_S)
             if unread_bytes(wire.stream.socket) >= length - len(wire.rest):
                 arrived_at = stalled_at
         await wire.body(length)
@@ -246,26 +248,26 @@
             self.plan.zone,
             self.plan.cell,
             self._clock() if arrived_at is None else arrived_at,
-            _deadline_s(headers.get("req-deadline", "")),
+            _parse_deadline_s(headers.get("req-deadline", "")),
             head_at,
             stalled=fault is HostFault.STALL_WHILE_READING or queued_since is not None,
             read_at=self._clock() if queued_since is not None else None,
         )
-        await self._carry_out(wire, attempt, fault, script)
+        await self._run_attempt(wire, attempt, fault, script)
 
-    async def _carry_out(
+    async def _run_attempt(
         self, wire: Wire, attempt: HostAttempt, fault: HostFault, script: RequestScript | None
     ) -> None:
         """Responds to an attempt that has begun, and notes its end, however it comes."""
         self._evidence.attempts.append(attempt)
-        self._holds.begun(attempt)
+        self._hold_recorder.attempt_begun(attempt)
         if script is not None:
             is_prefill = self.plan.role is Role.PREFILL
             script.reach(RequestStage.PREFILL_IN_FLIGHT if is_prefill else RequestStage.DECODE_IN_FLIGHT)
         try:
             await self._until_closed(wire, attempt, lambda: self._respond(wire, attempt, fault, script))
         finally:
-            self._holds.ended(attempt, leaves_state=False)
+            self._hold_recorder.attempt_ended(attempt, leaves_state=False)
             if attempt.closed_at is None:
                 attempt.closed_at = self._clock()
 
@@ -305,7 +307,7 @@
         if closed:
             raise Ended
 
-    def _fire(self, script: RequestScript | None, fault: HostFault) -> None:
+    def _record_fault(self, script: RequestScript | None, fault: HostFault) -> None:
         if script is not None:
             script.occurred_faults.add(f"host {fault.value}")
 
@@ -320,12 +322,12 @@
         if is_prefill and fault in STREAM_FAULTS | {HostFault.LONG_STREAM}:
             fault = HostFault.NONE
         if fault is not HostFault.NONE:
-            self._fire(script, fault)
+            self._record_fault(script, fault)
         await trio.sleep(self._rng.choice((0.005, 0.02, 0.06)))
-        if await self._fail(wire, attempt, fault):
+        if await self._inject_response_fault(wire, attempt, fault):
             return
         if is_prefill:
-            self._holds.ended(attempt, leaves_state=not has_ended(wire.stream.socket))
+            self._hold_recorder.attempt_ended(attempt, leaves_state=not peer_has_closed(wire.stream.socket))
             await self._answer(wire, 202, PREFILLED_BODY)
             attempt.closed_at = self._clock()
             if script is not None:
@@ -334,10 +336,10 @@
             await self._stream(wire, attempt, fault, script)
         await self._after_response(wire, fault, is_prefill)
 
-    async def _fail(self, wire: Wire, attempt: HostAttempt, fault: HostFault) -> bool:
+    async def _inject_response_fault(self, wire: Wire, attempt: HostAttempt, fault: HostFault) -> bool:
         """Carries out a fault that leaves no proper response; False if a response follows."""
-        if fault in LEAVES_STATE | ENDED_BY_ANSWER:
-            self._holds.ended(attempt, leaves_state=fault in LEAVES_STATE)
+        if fault in STATE_LEAVING_FAULTS | FAULTS_ANSWERED_BY_STATUS:
+            self._hold_recorder.attempt_ended(attempt, leaves_state=fault in STATE_LEAVING_FAULTS)
         match fault:
             case HostFault.DECLINE:
                 attempt.declined = True
@@ -350,7 +352,7 @@
             case HostFault.HANG:
                 await trio.sleep_forever()
             case HostFault.RESET_BEFORE_EVENT:
-                reset(wire.stream.socket)
+                reset_connection(wire.stream.socket)
                 raise Ended
             case HostFault.CLOSE_BEFORE_EVENT:
                 raise Ended
@@ -360,40 +362,40 @@
                 raise Ended
             case HostFault.ENDLESS_HEAD:
                 await wire.send(b"HTTP/1.1 200 OK\r\n")
-                with trio.move_on_after(ENDLESS_FOR_S):
+                with trio.move_on_after(ENDLESS_SEND_S):
                     while True:
                         await wire.send(b"X-Pad: 0123456789\r\n")
                         await trio.sleep(0.02)
                 raise Ended
             case _:
                 if fault is HostFault.SLOW:
-                    await trio.sleep(SLOW_S)
+                    await trio.sleep(SLOW_RESPONSE_DELAY_S)
                 return False
         return True
 
     async def _stream(
         self, wire: Wire, attempt: HostAttempt, fault: HostFault, script: RequestScript | None
     ) -> None:
-        pause_s = self._rng.choice((0.0, 0.01, 0.05, 0.12))
+        event_interval_s = self._rng.choice((0.0, 0.01, 0.05, 0.12))
         attempt.stream_faulty = fault in STREAM_FAULTS
         padding = SLOW_READER_PADDING if script is not None and script.reads_slowly else ""
-        self._holds.taken_over(attempt)
+        self._hold_recorder.stream_started(attempt)
         first = _event(f"{attempt.request_id}@{self.name}#{len(self._evidence.attempts)}:0")
         await self._write_events(wire, attempt, first, STREAM_HEAD)
         if script is not None:
             script.reach(RequestStage.STREAMING)
         if fault is HostFault.RESET_AFTER_EVENT:
-            await trio.sleep(pause_s)
-            reset(wire.stream.socket)
+            await trio.sleep(event_interval_s)
+            reset_connection(wire.stream.socket)
             raise Ended
         events = STREAM_EVENTS
         if fault is HostFault.LONG_STREAM:
             events = LONG_STREAM_EVENTS
-            pause_s = LONG_STREAM_S / events
+            event_interval_s = LONG_STREAM_DURATION_S / events
         for n in range(1, events):
-            await trio.sleep(pause_s)
+            await trio.sleep(event_interval_s)
             if n == 2:
-                await self._spoil(wire, attempt, fault)
+                await self._inject_stream_fault(wire, attempt, fault)
             await self._write_events(wire, attempt, _event(f"{attempt.request_id}:{n}{padding}"))
         trailer = b"data: [DONE]\n\n"
         if self._load_report:
@@ -404,7 +406,7 @@
         await wire.send(chunk(trailer) + LAST)
         attempt.closed_at = self._clock()
 
-    async def _spoil(self, wire: Wire, attempt: HostAttempt, fault: HostFault) -> None:
+    async def _inject_stream_fault(self, wire: Wire, attempt: HostAttempt, fault: HostFault) -> None:
         if fault is HostFault.HANG_AFTER_EVENT:
             await trio.sleep_forever()
         if fault is HostFault.MALFORMED_CHUNK:
@@ -412,7 +414,7 @@
             await trio.sleep_forever()
         if fault is HostFault.ENDLESS_CHUNK:
             await wire.send(b"fffff\r\ndata: ")
-            with trio.move_on_after(ENDLESS_FOR_S):
+            with trio.move_on_after(ENDLESS_SEND_S):
                 while True:
                     await wire.send(b"x" * 10)
                     await trio.sleep(0.02)
@@ -463,7 +465,7 @@
     return f"data: {text}\n\n".encode()
 
 
-def _deadline_s(text: str) -> float | None:
+def _parse_deadline_s(text: str) -> float | None:
     units = {"m": 0.001, "u": 0.000001}
     if not text or text[-1] not in units or not text[:-1].isdigit():
         return None
--- a/violetstack/rehearsal/fleet/campaign_processes.py
+++ b/violetstack/rehearsal/fleet/campaign_processes.py
@@ -147,10 +147,10 @@
             if exchange.dispatcher != dispatcher.program.number:
                 continue
             sent_at = exchange.sent_at
-            if exchange.waits_for is not None and exchange.waits_for.answered_at is None:
+            if exchange.pipelined_after is not None and exchange.pipelined_after.answered_at is None:
                 exchange.excused = "killed behind a stream"
                 continue
-            begun_or_in_time = exchange.committed_at is not None or now < exchange.lost_at
+            begun_or_in_time = exchange.committed_at is not None or now < exchange.latest_answer_at
             if sent_at is None or (sent_at <= since and begun_or_in_time):
                 exchange.excused = "killed"
             elif exchange.paused_until >= now:
--- a/violetstack/rehearsal/fleet/campaign_requests.py
+++ b/violetstack/rehearsal/fleet/campaign_requests.py
@@ -16,7 +16,7 @@
     ClientConnection,
     ClientMessage,
     NotAcceptedError,
-    RequestBehind,
+    PipelinedRequest,
 )
 from violetstack.rehearsal.fleet.campaign_faults import (
     SENDS_DURING_STREAM,
@@ -28,12 +28,12 @@
 from violetstack.rehearsal.fleet.socket_audit import ClientExchange
 
 REQUESTS_PER_DISPATCHER_S = 14.0
-KEPT_CONNECTION_SHARE = 0.6
-BLIND_REUSE_SHARE = 0.5
+CONNECTION_REUSE_SHARE = 0.6
+UNCHECKED_REUSE_SHARE = 0.5
 LARGE_BODY_BYTES = 240_000
-EARLY_CONNECTION_RESTS_S = (0.05, 0.5, 1.2, 2.1, 2.19, 2.2)
+EARLY_CONNECTION_IDLE_TIMES_S = (0.05, 0.5, 1.2, 2.1, 2.19, 2.2)
 """Before the first request on a new connection."""
-CROSSING_S = 0.05
+CLOSE_RACE_S = 0.05
 """On loopback a request and the end of its connection cross within this time."""
 
 
@@ -60,14 +60,14 @@
     async def _request(self, number: int) -> None:
         rng = random.Random(f"request {self._state.seed} {number}")
         script = self._source.draw()
-        dispatcher = self._choose(rng)
+        dispatcher = self._choose_dispatcher(rng)
         if dispatcher is None:
             self._state.statuses["no dispatcher"] += 1
             return
         exchange = self._new_exchange(rng, f"c{self._state.seed}q{number}", script, dispatcher)
         message = self._new_message(rng, exchange, script)
         try:
-            await self._exchange(dispatcher, exchange, message, rng)
+            await self._run_exchange(dispatcher, exchange, message, rng)
         except NotAcceptedError:
             del self._state.evidence.exchanges[exchange.id]
             self._state.statuses["not accepted"] += 1
@@ -96,65 +96,67 @@
         headers = self._headers(rng, exchange, len(body))
         return ClientMessage(h11.Request(method="POST", target="/v1/chat/completions", headers=headers), body)
 
-    def _choose(self, rng: random.Random) -> Dispatcher | None:
+    def _choose_dispatcher(self, rng: random.Random) -> Dispatcher | None:
         """One that takes new connections, or still has kept ones."""
-        there = [each for each in self._state.dispatchers if each.accepting or each.kept]
-        return rng.choice(there) if there else None
+        candidates = [each for each in self._state.dispatchers if each.accepting or each.kept]
+        return rng.choice(candidates) if candidates else None
 
-    async def _exchange(
+    async def _run_exchange(
         self,
         dispatcher: Dispatcher,
         exchange: ClientExchange,
         message: ClientMessage,
         rng: random.Random,
     ) -> None:
-        rest_s = rng.choice(EARLY_CONNECTION_RESTS_S)
+        idle_s = rng.choice(EARLY_CONNECTION_IDLE_TIMES_S)
         script = self._state.scripts[exchange.id]
-        connection = None if script.reads_slowly else self._kept_connection(dispatcher, rng)
+        connection = None if script.reads_slowly else self._take_idle_connection(dispatcher, rng)
         exchange.reused_connection = connection is not None
         if connection is None:
             connection = await ClientConnection.open(dispatcher.program.at, reads_slowly=script.reads_slowly)
-        behind = self._request_behind(rng, exchange, script, dispatcher)
+        pipelined = self._new_pipelined_request(rng, exchange, script, dispatcher)
         call = ClientCall(
-            connection, exchange, script, message, self._state.now, rest_s=rest_s, behind=behind
+            connection, exchange, script, message, self._state.now, idle_s=idle_s, pipelined=pipelined
         )
         try:
             await call.run()
-            if behind is not None and behind.exchange.sent_at is not None:
-                await self._read_behind(call, behind, exchange)
+            if pipelined is not None and pipelined.exchange.sent_at is not None:
+                await self._read_pipelined_answer(call, pipelined, exchange)
         finally:
-            if behind is not None:
-                del self._state.open[behind.exchange.id]
+            if pipelined is not None:
+                del self._state.open[pipelined.exchange.id]
         if script.behaviour is ClientBehaviour.SENDS_NEXT_REQUEST_AT_ONCE and call.reusable:
-            call = await self._ask_again(rng, call, exchange, dispatcher)
-        if self._crossed_close(exchange, call):
+            call = await self._send_next_request(rng, call, exchange, dispatcher)
+        if self._raced_with_close(exchange, call):
             dispatcher, call = await self._resend(exchange, message, rng)
         if call.reusable:
             dispatcher.kept.append((call.connection, exchange))
         elif not exchange.status and exchange.server_closed_at is not None:
-            self._excuse_flooded(dispatcher, exchange)
+            self._excuse_if_flooded(dispatcher, exchange)
 
-    def _request_behind(
+    def _new_pipelined_request(
         self, rng: random.Random, exchange: ClientExchange, script: RequestScript, dispatcher: Dispatcher
-    ) -> RequestBehind | None:
+    ) -> PipelinedRequest | None:
         """What the client writes on the connection while its stream goes on, if that is its behaviour."""
         if script.behaviour not in SENDS_DURING_STREAM:
             return None
         plain = RequestScript(None, ClientBehaviour.PLAIN, (), 0.0, reads_slowly=script.reads_slowly)
         second = self._new_exchange(rng, f"{exchange.id}b", plain, dispatcher)
-        second.waits_for = exchange
-        return RequestBehind(second, self._new_message(rng, second, plain))
+        second.pipelined_after = exchange
+        return PipelinedRequest(second, self._new_message(rng, second, plain))
 
-    async def _read_behind(self, call: ClientCall, behind: RequestBehind, first: ClientExchange) -> None:
+    async def _read_pipelined_answer(
+        self, call: ClientCall, pipelined: PipelinedRequest, first: ClientExchange
+    ) -> None:
         """Reads the answer to a request that was written behind another, if one is owed."""
-        second = behind.exchange
+        second = pipelined.exchange
         if not call.reusable:
             # The answer before it has announced the end, or never came whole: that is judged there.
             second.excused = second.excused or "behind the connection's end"
             return
         call.connection.http.start_next_cycle()
         script = self._state.scripts[second.id]
-        reading = ClientCall(call.connection, second, script, behind.message, self._state.now)
+        reading = ClientCall(call.connection, second, script, pipelined.message, self._state.now)
         call.reusable = False
         await reading.run()
         call.reusable = reading.reusable
@@ -162,7 +164,7 @@
         if first.excused and not second.status:
             second.excused = first.excused
 
-    async def _ask_again(
+    async def _send_next_request(
         self, rng: random.Random, call: ClientCall, first: ClientExchange, dispatcher: Dispatcher
     ) -> ClientCall:
         """Asks once more on the connection in the moment in which its answer has ended."""
@@ -174,10 +176,10 @@
         next_call = ClientCall(call.connection, second, script, message, self._state.now)
         try:
             await next_call.run()
-            if self._crossed_close(second, next_call):
+            if self._raced_with_close(second, next_call):
                 dispatcher, next_call = await self._resend(second, message, rng)
                 if not second.status and second.server_closed_at is not None:
-                    self._excuse_flooded(dispatcher, second)
+                    self._excuse_if_flooded(dispatcher, second)
         except NotAcceptedError:
             del self._state.evidence.exchanges[second.id]
         finally:
@@ -185,18 +187,19 @@
         self._state.statuses[f"right behind: {_outcome(second)}"] += 1
         return next_call
 
-    def _crossed_close(self, exchange: ClientExchange, call: ClientCall) -> bool:
+    def _raced_with_close(self, exchange: ClientExchange, call: ClientCall) -> bool:
         """Whether the dispatcher ended an idle connection while the request was on its way there.
 
         One that lay unread for longer is lost: the dispatcher could have seen it.
         """
         if exchange.status or exchange.excused or exchange.client_closed_at is not None:
             return False
-        if exchange.server_closed_at is None or not (exchange.reused_connection or call.rested):
+        if exchange.server_closed_at is None or not (exchange.reused_connection or call.idled):
             return False
         sent_at = exchange.sent_at
         return (
-            sent_at is None or exchange.server_closed_at <= sent_at + CROSSING_S + self._state.evidence.lag_s
+            sent_at is None
+            or exchange.server_closed_at <= sent_at + CLOSE_RACE_S + self._state.evidence.lag_s
         )
 
     async def _resend(
@@ -220,26 +223,26 @@
         await call.run()
         return dispatcher, call
 
-    def _kept_connection(self, dispatcher: Dispatcher, rng: random.Random) -> ClientConnection | None:
-        wanted = not dispatcher.accepting or rng.random() < KEPT_CONNECTION_SHARE
-        while dispatcher.kept and wanted:
-            connection, last = dispatcher.kept.pop()
+    def _take_idle_connection(self, dispatcher: Dispatcher, rng: random.Random) -> ClientConnection | None:
+        may_reuse = not dispatcher.accepting or rng.random() < CONNECTION_REUSE_SHARE
+        while dispatcher.kept and may_reuse:
+            connection, last_exchange = dispatcher.kept.pop()
             if connection.stream.socket.fileno() < 0:
                 continue  # closed by this client meanwhile
-            if connection.stream.socket.is_readable() and rng.random() > BLIND_REUSE_SHARE:
-                self._look_behind(connection, last)
+            if connection.stream.socket.is_readable() and rng.random() > UNCHECKED_REUSE_SHARE:
+                self._read_unsolicited_data(connection, last_exchange)
                 connection.close()
                 continue
             connection.http.start_next_cycle()
             return connection
         return None
 
-    def _look_behind(self, connection: ClientConnection, last: ClientExchange) -> None:
+    def _read_unsolicited_data(self, connection: ClientConnection, last_exchange: ClientExchange) -> None:
         """What lies on an idle connection is its end, or an answer that nobody asked for."""
         with suppress(OSError), socket.socket(fileno=os.dup(connection.stream.socket.fileno())) as copy:
-            last.surplus += copy.recv(READ_SIZE, socket.MSG_DONTWAIT)
+            last_exchange.trailing_bytes += copy.recv(READ_SIZE, socket.MSG_DONTWAIT)
 
-    def _excuse_flooded(self, dispatcher: Dispatcher, exchange: ClientExchange) -> None:
+    def _excuse_if_flooded(self, dispatcher: Dispatcher, exchange: ClientExchange) -> None:
         """With the descriptors full, new connections may be closed unread."""
         closed_at = exchange.server_closed_at
         flooded = dispatcher.flooded_from <= (closed_at or 0.0) <= dispatcher.flooded_until
--- a/violetstack/rehearsal/fleet/campaign_result.py
+++ b/violetstack/rehearsal/fleet/campaign_result.py
@@ -143,7 +143,7 @@
             rows += [(at, text) for text, at in moments.items() if at is not None]
         for attempt in self._state.evidence.attempts:
             if attempt.request_id == request_id:
-                told = f"told {attempt.told_deadline_s}, declined {attempt.declined}"
+                told = f"told {attempt.received_deadline_s}, declined {attempt.declined}"
                 rows.append((attempt.arrived_at, f"came to {attempt.host}, {told}"))
                 if attempt.closed_at is not None:
                     rows.append((attempt.closed_at, f"over at {attempt.host}"))
--- a/violetstack/rehearsal/fleet/freeze_gate.py
+++ b/violetstack/rehearsal/fleet/freeze_gate.py
@@ -15,14 +15,14 @@
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-def reset(sock: trio.socket.SocketType) -> None:
+def reset_connection(sock: trio.socket.SocketType) -> None:
     """Closes with a TCP reset, whatever is unsent."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     sock.close()
 
 
-def has_ended(sock: trio.socket.SocketType) -> bool:
+def peer_has_closed(sock: trio.socket.SocketType) -> bool:
     """Whether the other side has closed the connection, as it is at this moment."""
     if sock.fileno() < 0:
         return True
@@ -61,8 +61,8 @@
             return None
         await self._thawed.wait()
         if self._resets:
-            reset(wire.stream.socket)
+            reset_connection(wire.stream.socket)
             raise Ended
-        if has_ended(wire.stream.socket):
+        if peer_has_closed(wire.stream.socket):
             raise Ended
         return since
--- a/violetstack/rehearsal/fleet/hold_audit.py
+++ b/violetstack/rehearsal/fleet/hold_audit.py
@@ -61,13 +61,13 @@
         events: In the order in which they were written down.
         excused_until: By request: its dispatcher did not run until then, or ended and left it to the hosts.
         ended_at: When the records end.
-        prefills_out: By request: prefills that a host has begun and not ended.
+        prefills_in_flight: By request: prefills that a host has begun and not ended.
     """
 
     events: list[HostEvent] = field(default_factory=list)
     excused_until: dict[str, float] = field(default_factory=dict)
     ended_at: float = 0.0
-    prefills_out: Counter[str] = field(default_factory=Counter)
+    prefills_in_flight: Counter[str] = field(default_factory=Counter)
 
     def excuse(self, request_ids: Iterable[str], until: float) -> None:
         """Nothing of these requests counts as held before `until`."""
@@ -79,7 +79,7 @@
         self.events.append(HostEvent(at, record, request_id, host))
 
 
-class _Request:
+class _RequestHolds:
     """What is held for one request, followed through its records."""
 
     def __init__(self, request_id: str, limit_s: float, excused_until: float) -> None:
@@ -90,7 +90,7 @@
         self._in_flight = 0
         self._since = 0.0
 
-    def take(self, event: HostEvent) -> Iterator[HeldTooLong]:
+    def apply(self, event: HostEvent) -> Iterator[HeldTooLong]:
         """Follows one record; yields what was held for too long before it."""
         yield from self.check(event.at)
         match event.record:
@@ -132,11 +132,13 @@
     found: list[HeldTooLong] = []
     for request_id, events in by_request.items():
         excused_until = evidence.excused_until.get(request_id, -math.inf)
-        found += _audit_request(_Request(request_id, limit_s, excused_until), events, evidence.ended_at)
+        found += _audit_request(_RequestHolds(request_id, limit_s, excused_until), events, evidence.ended_at)
     return found
 
 
-def _audit_request(request: _Request, events: Iterable[HostEvent], ended_at: float) -> Iterator[HeldTooLong]:
+def _audit_request(
+    request: _RequestHolds, events: Iterable[HostEvent], ended_at: float
+) -> Iterator[HeldTooLong]:
     for event in events:
-        yield from request.take(event)
+        yield from request.apply(event)
     yield from request.check(ended_at)
--- a/violetstack/rehearsal/fleet/host_holds.py
+++ b/violetstack/rehearsal/fleet/host_holds.py
@@ -15,7 +15,7 @@
 PREFILL_POLL_S = 0.005
 
 
-class HostHolds:
+class HoldRecorder:
     """The records of one host. Which prefills are out is known to all hosts, as the evidence is theirs."""
 
     def __init__(self, evidence: HoldEvidence, host: str, clock: Callable[[], float]) -> None:
@@ -29,32 +29,32 @@
     def release_taken(self, request_id: str) -> None:
         self._record(HostRecord.RELEASE_TAKEN, request_id)
 
-    def taken_over(self, attempt: HostAttempt) -> None:
+    def stream_started(self, attempt: HostAttempt) -> None:
         """Its stream has started."""
         self._record(HostRecord.TAKEN_OVER, attempt.request_id)
 
-    async def prefill_begins(self, request_id: str) -> bool:
+    async def wait_for_prefill(self, request_id: str) -> bool:
         """Whether a prefill of the request is out, or begins within the time that a host waits for it."""
         give_up_at = self._clock() + UNCERTAIN_AFTER_S
         while self._clock() < give_up_at:
-            if self._evidence.prefills_out[request_id]:
+            if self._evidence.prefills_in_flight[request_id]:
                 return True
             await trio.sleep(PREFILL_POLL_S)
         return False
 
-    def begun(self, attempt: HostAttempt) -> None:
+    def attempt_begun(self, attempt: HostAttempt) -> None:
         """The attempt has begun: it is out."""
         self._record(HostRecord.ATTEMPT_BEGUN, attempt.request_id)
         if attempt.role is Role.PREFILL:
-            self._evidence.prefills_out[attempt.request_id] += 1
+            self._evidence.prefills_in_flight[attempt.request_id] += 1
 
-    def ended(self, attempt: HostAttempt, *, leaves_state: bool) -> None:
+    def attempt_ended(self, attempt: HostAttempt, *, leaves_state: bool) -> None:
         """The attempt has ended; only the first call counts."""
-        if not attempt.hold_followed:
+        if not attempt.end_pending:
             return
-        attempt.hold_followed = False
+        attempt.end_pending = False
         if attempt.role is Role.PREFILL:
-            self._evidence.prefills_out[attempt.request_id] -= 1
+            self._evidence.prefills_in_flight[attempt.request_id] -= 1
             if leaves_state:
                 self._record(HostRecord.STATE_LEFT, attempt.request_id)
         self._record(HostRecord.ATTEMPT_ENDED, attempt.request_id)
--- a/violetstack/rehearsal/fleet/soak_environment.py
+++ b/violetstack/rehearsal/fleet/soak_environment.py
@@ -177,7 +177,7 @@
         host.freeze()
         host.stop_connecting()
         await trio.sleep(duration_s)
-        host.connect_again()
+        host.resume_connecting()
         host.thaw(resets=True)
 
     async def _send_signal_series(self, event: SoakEvent) -> None:
--- a/violetstack/rehearsal/fleet/socket_audit.py
+++ b/violetstack/rehearsal/fleet/socket_audit.py
@@ -17,7 +17,7 @@
 
 RULE_SLACK_S = 0.05
 """On every time limit of the protocol."""
-LATE_ANSWER_S = 0.5
+LATE_ANSWER_GRACE_S = 0.5
 """An answer that comes later than this after its deadline is lost."""
 DISCONNECT_GRACE_S = 0.1
 """An attempt may begin this long after its client has closed the connection."""
@@ -27,7 +27,7 @@
 """The end of a stream is passed on within this time after the host's."""
 SILENT_STREAM_S = 5.0
 """A client is not left waiting for longer after the host's last event."""
-EVENTS_STILL_COMING_S = 1.0
+ACTIVE_STREAM_S = 1.0
 """A host that has written an event this recently is still streaming."""
 
 REJECTION_STATUSES = frozenset({429, 503})
@@ -40,8 +40,8 @@
     CLOSED_UNANSWERED = "closed unanswered"
     LATE_ANSWER = "late answer"
     SECOND_ANSWER = "second answer"
-    FOREIGN_STREAM = "foreign stream"
-    FALSE_END = "false end"
+    UNMATCHED_STREAM = "foreign stream"
+    FALSE_COMPLETION = "false end"
     TRUNCATED = "truncated"
     LATE_END = "late end"
     SILENT_STREAM = "silent stream"
@@ -50,13 +50,13 @@
     AFTER_DISCONNECT = "forwarded after disconnect"
     AFTER_ANSWER = "forwarded after answer"
     LATE_DELIVERY = "rest delivered late"
-    DEADLINE = "deadline exceeds what is left"
+    DEADLINE_TOO_LONG = "deadline exceeds what is left"
     REPEATED = "repeated"
     HEDGED = "hedged"
     TOO_MANY_ATTEMPTS = "too many attempts"
     UNSAFE_REJECTION = "unsafe rejection"
     AFTER_DRAIN = "forwarded after drain"
-    HELD = "held too long"
+    HELD_TOO_LONG = "held too long"
 
 
 @dataclass(frozen=True)
@@ -81,7 +81,7 @@
         first_byte_at: When the first byte of an answer's body came; of one without a body, its head.
         answered_at: When the last byte of the answer came.
         complete: Whether the answer ended by its own framing.
-        surplus: Bytes that came behind the answer.
+        trailing_bytes: Bytes that came behind the answer.
         server_closed_at: When the dispatcher ended the connection.
         client_closed_at: When the client closed, reset or half-closed the connection, or went away.
         waited_until: When the client stopped waiting.
@@ -89,7 +89,7 @@
         paused_until: When its dispatcher's process, which was stopped under it, went on.
         excused: Why no answer is owed; empty otherwise.
         reads_slowly: Its client takes an answer later than it comes.
-        waits_for: The request whose answer comes first on the connection, as this one was written behind it.
+        pipelined_after: The request whose answer comes first on the connection, as this one was written behind it.
     """
 
     id: str
@@ -103,7 +103,7 @@
     first_byte_at: float | None = None
     answered_at: float | None = None
     complete: bool = False
-    surplus: bytes = b""
+    trailing_bytes: bytes = b""
     server_closed_at: float | None = None
     client_closed_at: float | None = None
     waited_until: float = math.inf
@@ -111,7 +111,7 @@
     paused_until: float = 0.0
     excused: str = ""
     reads_slowly: bool = False
-    waits_for: ClientExchange | None = None
+    pipelined_after: ClientExchange | None = None
 
     @property
     def committed_at(self) -> float | None:
@@ -119,14 +119,16 @@
         return self.first_byte_at if self.status == 200 else self.answered_at
 
     @property
-    def lost_at(self) -> float:
+    def latest_answer_at(self) -> float:
         """From when on an answer comes too late to count."""
         if self.sent_at is None:
             return math.inf
         first_ended_at = 0.0
-        if self.waits_for is not None:
-            first_ended_at = math.inf if self.waits_for.answered_at is None else self.waits_for.answered_at
-        return max(self.sent_at + self.deadline_s, self.paused_until, first_ended_at) + LATE_ANSWER_S
+        if self.pipelined_after is not None:
+            first_ended_at = (
+                math.inf if self.pipelined_after.answered_at is None else self.pipelined_after.answered_at
+            )
+        return max(self.sent_at + self.deadline_s, self.paused_until, first_ended_at) + LATE_ANSWER_GRACE_S
 
 
 @dataclass
@@ -137,7 +139,7 @@
         head_at: When its head came.
         stalled: The host did not read for a while, so it saw the end of the connection late as well.
         read_at: When the host had read it, if that may have been later than it arrived.
-        told_deadline_s: Its `Req-Deadline`.
+        received_deadline_s: Its `Req-Deadline`.
         closed_at: When its answer or its connection ended; None if it is out.
         declined: The host said that it has not run.
         events: The body of its stream, as far as it was written.
@@ -152,7 +154,7 @@
     zone: str
     cell: int
     arrived_at: float
-    told_deadline_s: float | None = None
+    received_deadline_s: float | None = None
     head_at: float | None = None
     stalled: bool = False
     read_at: float | None = None
@@ -162,7 +164,7 @@
     stream_ended_at: float | None = None
     stream_faulty: bool = False
     last_event_at: float | None = None
-    hold_followed: bool = True
+    end_pending: bool = True
     """Its end has not been written down among what is held."""
 
 
@@ -221,13 +223,13 @@
         evidence = self._evidence
         retention_s = self._settings.state_retention_ms / 1000.0
         held = audit_holds(evidence.holds, retention_s, evidence.lag_s)
-        return [Violation(Rule.HELD, each.request_id, str(each)) for each in held]
+        return [Violation(Rule.HELD_TOO_LONG, each.request_id, str(each)) for each in held]
 
     # --- the final answer ---
 
     def _check_answer(self, exchange: ClientExchange, attempts: list[HostAttempt]) -> Iterator[Violation]:
-        if exchange.surplus:
-            yield Violation(Rule.SECOND_ANSWER, exchange.id, repr(exchange.surplus[:60]))
+        if exchange.trailing_bytes:
+            yield Violation(Rule.SECOND_ANSWER, exchange.id, repr(exchange.trailing_bytes[:60]))
         if exchange.sent_at is None or exchange.excused:
             return
         if exchange.resent_at is not None:
@@ -236,7 +238,7 @@
                 yield Violation(Rule.CLOSED_UNANSWERED, exchange.id, "its kept connection, after it was read")
         if exchange.client_closed_at is not None:
             return
-        due = exchange.lost_at
+        due = exchange.latest_answer_at
         committed_at = exchange.committed_at
         if not exchange.status:
             yield self._missing_answer(exchange, due)
@@ -265,7 +267,7 @@
         body = bytes(exchange.body)
         sources = [each for each in attempts if each.events and bytes(each.events).startswith(body)]
         if not sources:
-            yield Violation(Rule.FOREIGN_STREAM, exchange.id, repr(body[:120]))
+            yield Violation(Rule.UNMATCHED_STREAM, exchange.id, repr(body[:120]))
             return
         source = max(sources, key=lambda each: (each.stream_ended_at is not None, len(each.events)))
         if exchange.complete:
@@ -284,7 +286,7 @@
             and bytes(each.events) == bytes(exchange.body)
         ]
         if not ended:
-            yield Violation(Rule.FALSE_END, exchange.id, f"{sources[0].host} had not ended it")
+            yield Violation(Rule.FALSE_COMPLETION, exchange.id, f"{sources[0].host} had not ended it")
             return
         ended_at = ended[0].stream_ended_at
         assert ended_at is not None
@@ -304,7 +306,7 @@
             if silent_until > last + SILENT_STREAM_S + self._tolerance_s:
                 waited_s = silent_until - last
                 yield Violation(Rule.SILENT_STREAM, exchange.id, f"{waited_s:.2f} s after {source.host}")
-        elif source.stream_ended_at is not None or (end is not None and end <= last + EVENTS_STILL_COMING_S):
+        elif source.stream_ended_at is not None or (end is not None and end <= last + ACTIVE_STREAM_S):
             yield Violation(
                 Rule.TRUNCATED,
                 exchange.id,
@@ -320,7 +322,7 @@
         for attempt in attempts:
             yield from self._check_one_attempt(exchange, attempt)
         if len(attempts) > self._settings.max_attempts:
-            detail = f"{len(attempts)} of {self._settings.max_attempts}: {_hosts(attempts)}"
+            detail = f"{len(attempts)} of {self._settings.max_attempts}: {_host_names(attempts)}"
             yield Violation(Rule.TOO_MANY_ATTEMPTS, exchange.id, detail)
 
     def _check_one_attempt(self, exchange: ClientExchange, attempt: HostAttempt) -> Iterator[Violation]:
@@ -329,21 +331,25 @@
         grace_s = DISCONNECT_GRACE_S + self._evidence.lag_s
         if closed_at is not None and at > closed_at + grace_s:
             detail = f"{attempt.host} {at - closed_at:.3f} s after the client's end"
-            yield Violation(_late(Rule.AFTER_DISCONNECT, attempt, closed_at + grace_s), exchange.id, detail)
+            yield Violation(
+                _late_delivery_or(Rule.AFTER_DISCONNECT, attempt, closed_at + grace_s), exchange.id, detail
+            )
         committed_at = exchange.committed_at
         if committed_at is not None and at > committed_at + self._tolerance_s:
             detail = f"{attempt.host} {at - committed_at:.3f} s after {exchange.status}"
-            rule = _late(Rule.AFTER_ANSWER, attempt, committed_at + self._tolerance_s)
+            rule = _late_delivery_or(Rule.AFTER_ANSWER, attempt, committed_at + self._tolerance_s)
             yield Violation(rule, exchange.id, detail)
         assert exchange.sent_at is not None
-        if attempt.told_deadline_s is not None:
+        if attempt.received_deadline_s is not None:
             # A host that reads slowly makes what it was told late, not wrong.
             head_at = attempt.head_at if attempt.head_at is not None else at
             left_s = exchange.sent_at + exchange.deadline_s - head_at
-            over_s = attempt.told_deadline_s - left_s
+            over_s = attempt.received_deadline_s - left_s
             if over_s > DEADLINE_SLACK_S + self._evidence.lag_s:
-                detail = f"{attempt.host} was given {attempt.told_deadline_s:.3f} s, {left_s:.3f} s were left"
-                yield Violation(Rule.DEADLINE, exchange.id, detail)
+                detail = (
+                    f"{attempt.host} was given {attempt.received_deadline_s:.3f} s, {left_s:.3f} s were left"
+                )
+                yield Violation(Rule.DEADLINE_TOO_LONG, exchange.id, detail)
         drained_at = self._drain_announced_at(exchange.dispatcher, attempt.host, at)
         if drained_at is not None and at > drained_at + self._drain_grace_s + self._tolerance_s:
             detail = f"{attempt.host} {at - drained_at:.3f} s after the drain was announced"
@@ -366,26 +372,28 @@
             for earlier, later in _overlapping(attempts, self._tolerance_s):
                 detail = f"{later.host} while {earlier.host} was out"
                 yield Violation(Rule.HEDGED, exchange.id, detail)
-        spec = self._class(exchange)
-        runs = _runs(attempts)
-        if spec.idempotency is Idempotency.IDEMPOTENT or len(runs) < 2:
+        request_class = self._class_of(exchange)
+        runs = _possible_runs(attempts)
+        if request_class.idempotency is Idempotency.IDEMPOTENT or len(runs) < 2:
             return
         for run in runs[1:]:
-            reason = self._forbids(spec, runs[0], run)
+            reason = self._repeat_forbidden_reason(request_class, runs[0], run)
             if reason:
                 detail = f"{run.host} after {runs[0].host}: {reason}"
                 yield Violation(Rule.REPEATED, exchange.id, detail)
 
-    def _forbids(self, spec: ClassSettings, first: HostAttempt, repeat: HostAttempt) -> str:
+    def _repeat_forbidden_reason(
+        self, request_class: ClassSettings, first: HostAttempt, repeat: HostAttempt
+    ) -> str:
         """Why the work may not be repeated there; empty if it may."""
-        if spec.idempotency is Idempotency.NON_IDEMPOTENT:
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return "not idempotent"
         after_s = repeat.arrived_at - first.arrived_at
-        if after_s > spec.deduplication_window_ms / 1000.0 + self._tolerance_s:
-            return f"{after_s:.3f} s later, outside of the window of {spec.deduplication_window_ms:g} ms"
-        if spec.deduplication_scope is DeduplicationScope.ZONE and repeat.zone != first.zone:
+        if after_s > request_class.deduplication_window_ms / 1000.0 + self._tolerance_s:
+            return f"{after_s:.3f} s later, outside of the window of {request_class.deduplication_window_ms:g} ms"
+        if request_class.deduplication_scope is DeduplicationScope.ZONE and repeat.zone != first.zone:
             return f"in zone {repeat.zone}, not {first.zone}"
-        if spec.deduplication_scope is DeduplicationScope.CELL and repeat.cell != first.cell:
+        if request_class.deduplication_scope is DeduplicationScope.CELL and repeat.cell != first.cell:
             return f"in cell {repeat.cell}, not {first.cell}"
         return ""
 
@@ -393,24 +401,26 @@
         """A rejection says that a retry is harmless: what has run may be repeated anywhere."""
         if exchange.status not in REJECTION_STATUSES:
             return
-        spec = self._class(exchange)
-        runs = _runs(attempts)
-        if not runs or spec.idempotency is Idempotency.IDEMPOTENT:
+        request_class = self._class_of(exchange)
+        runs = _possible_runs(attempts)
+        if not runs or request_class.idempotency is Idempotency.IDEMPOTENT:
             return
-        anywhere = spec.deduplication_scope is DeduplicationScope.ALL
-        if spec.idempotency is Idempotency.NON_IDEMPOTENT or not anywhere:
-            yield Violation(Rule.UNSAFE_REJECTION, exchange.id, f"{exchange.status} after {_hosts(runs)}")
+        anywhere = request_class.deduplication_scope is DeduplicationScope.ALL
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT or not anywhere:
+            yield Violation(
+                Rule.UNSAFE_REJECTION, exchange.id, f"{exchange.status} after {_host_names(runs)}"
+            )
 
-    def _class(self, exchange: ClientExchange) -> ClassSettings:
+    def _class_of(self, exchange: ClientExchange) -> ClassSettings:
         return self._settings.classes[exchange.class_index]
 
 
-def _runs(attempts: Iterable[HostAttempt]) -> list[HostAttempt]:
+def _possible_runs(attempts: Iterable[HostAttempt]) -> list[HostAttempt]:
     """Those that may have had an effect: a prefill has none, and what was declined has not run."""
     return [each for each in attempts if each.role is not Role.PREFILL and not each.declined]
 
 
-def _late(rule: Rule, attempt: HostAttempt, limit: float) -> Rule:
+def _late_delivery_or(rule: Rule, attempt: HostAttempt, limit: float) -> Rule:
     """The rule, or LATE_DELIVERY if the attempt was begun in time and only its rest came late."""
     return Rule.LATE_DELIVERY if attempt.head_at is not None and attempt.head_at <= limit else rule
 
@@ -427,5 +437,5 @@
                 yield earlier, later
 
 
-def _hosts(attempts: Iterable[HostAttempt]) -> str:
+def _host_names(attempts: Iterable[HostAttempt]) -> str:
     return ", ".join(each.host for each in attempts)
