--- a/tests/test_fault_findings.py
+++ b/tests/test_fault_findings.py
@@ -12,7 +12,7 @@
 
 from tests.race_helpers import DispatcherProcess, dispatcher_process
 from violetstack.rehearsal.clients import BODY, connect, platform_headers
-from violetstack.rehearsal.fleet.fault_shim import Call, ProcessFaults, build_shim
+from violetstack.rehearsal.fleet.fault_shim import ProcessFaults, SystemCall, build_shim
 from violetstack.rehearsal.fleet.programs import Program
 from violetstack.rehearsal.hosts import Act, ModelHost
 from violetstack.rehearsal.stage import SETTINGS
@@ -233,10 +233,10 @@
             sent_at = trio.current_time()
             await call.stream.send_all(await _request_bytes(process, "q2", Req_Deadline="1400m"))
             await trio.sleep(0.9)
-            faults.fail(Call.RECV, errno.ENOMEM, 1)
+            faults.fail(SystemCall.RECV, errno.ENOMEM, 1)
             process.program.send(signal.SIGCONT)
             await trio.sleep(0.1)
-            faults.stop_failing(Call.RECV)
+            faults.stop_failing(SystemCall.RECV)
             with trio.fail_after(3.0):
                 await prefill.until(lambda: prefill.begun == ["q1", "q2"])
             left_ms = 1400.0 - (trio.current_time() - sent_at) * 1000.0
--- a/tests/test_shutdown_streams.py
+++ b/tests/test_shutdown_streams.py
@@ -18,7 +18,7 @@
 from tests.pipelining import PipeliningClient, relay
 from tests.race_helpers import DispatcherProcess, dispatcher_process
 from violetstack.config import Address
-from violetstack.rehearsal.fleet.fault_shim import Call, ProcessFaults, build_shim
+from violetstack.rehearsal.fleet.fault_shim import ProcessFaults, SystemCall, build_shim
 from violetstack.rehearsal.fleet.programs import Program
 from violetstack.rehearsal.hosts import Act, ModelHost
 from violetstack.rehearsal.peer import PeerConnection
@@ -196,13 +196,14 @@
         async with dispatcher_process(prefill_host, decode_host, prepare=prepare) as dispatcher:
             idle_client = await begin_stream(dispatcher.address, 1)
             streaming_client = await begin_stream(dispatcher.address, 2)
-            faults.fail(Call.POLL, errno.ENOMEM, 2)
+            faults.fail(SystemCall.POLL, errno.ENOMEM, 2)
             dispatcher.program.send(signal.SIGTERM)
             await trio.sleep(0.7)
             decode_host.end.set()
             await trio.sleep(0.5)
-            failed_calls = faults.failed(Call.POLL)
-            faults.stop_failing(Call.POLL)  # connections in an unknown state stay open, so the shutdown waits
+            failed_calls = faults.failed(SystemCall.POLL)
+            # Connections in an unknown state stay open, so the shutdown waits.
+            faults.stop_failing(SystemCall.POLL)
             for client in (idle_client, streaming_client):
                 await client.read_all()
                 client.close()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -21,7 +21,7 @@
     ScriptSource,
 )
 from violetstack.rehearsal.fleet.campaign_result import CaseResult
-from violetstack.rehearsal.fleet.fault_shim import Call, ProcessFaults, build_shim
+from violetstack.rehearsal.fleet.fault_shim import ProcessFaults, SystemCall, build_shim
 from violetstack.rehearsal.fleet.soak import SoakPlan, play_soak
 from violetstack.rehearsal.fleet.soak_faults import FailingCall, SoakEvent, SoakFault, draw_soak
 
@@ -121,8 +121,8 @@
 
 def test_the_shim_fails_calls_and_steps_the_wall_clock(shim: Path) -> None:
     faults = ProcessFaults()
-    faults.fail(Call.SOCKET, errno.ENFILE)
-    faults.fail(Call.SEND, 0)
+    faults.fail(SystemCall.SOCKET, errno.ENFILE)
+    faults.fail(SystemCall.SEND, 0)
     faults.step_wall_clock(3600.0)
     env = {**os.environ, "LD_PRELOAD": str(shim), "SOAK_FAULTS_FD": str(faults.descriptor)}
 
@@ -133,9 +133,9 @@
         ).stdout.split("\n")[:3]
 
     assert probe() == ["ENFILE", "1", "3600.0"]
-    assert faults.failed(Call.SOCKET) == 1
-    faults.stop_failing(Call.SOCKET)
-    faults.stop_failing(Call.SEND)
+    assert faults.failed(SystemCall.SOCKET) == 1
+    faults.stop_failing(SystemCall.SOCKET)
+    faults.stop_failing(SystemCall.SEND)
     faults.step_wall_clock(0.0)
     assert probe() == ["no error", "13", "0.0"]
     faults.close()
--- a/tests/test_transient_socket_errors.py
+++ b/tests/test_transient_socket_errors.py
@@ -15,7 +15,7 @@
 from tests.race_helpers import dispatcher_process
 from tests.test_stories import pair, play
 from violetstack.rehearsal.clients import ask_platform
-from violetstack.rehearsal.fleet.fault_shim import Call, ProcessFaults, build_shim
+from violetstack.rehearsal.fleet.fault_shim import ProcessFaults, SystemCall, build_shim
 from violetstack.rehearsal.fleet.programs import Program
 from violetstack.rehearsal.hosts import Act, ModelHost
 from violetstack.rehearsal.stage import Stage
@@ -83,10 +83,10 @@
         async with dispatcher_process(prefill, ModelHost("w", "decode"), prepare=prepare) as dispatcher:
             call = await dispatcher.send_request("q1")
             await prefill.until(lambda: prefill.begun == ["q1"])
-            faults.fail(Call.RECV, errno.ENOMEM, 1)
+            faults.fail(SystemCall.RECV, errno.ENOMEM, 1)
             dispatcher.program.send(signal_number)
             await trio.sleep(0.2)
-            faults.stop_failing(Call.RECV)
+            faults.stop_failing(SystemCall.RECV)
             gate.set()
             with trio.fail_after(5.0):
                 assert (await call.receive()).outcome == "served"
--- a/violetstack/rehearsal/fleet/campaign.py
+++ b/violetstack/rehearsal/fleet/campaign.py
@@ -23,17 +23,17 @@
 from violetstack.rehearsal.fleet.programs import ROOT
 
 LAG_INTERVAL_S = 0.02
-SETTLE_S = 0.4
-STARVED_WINDOW_S = 1.0
+SETTLE_TIME_S = 0.4
+PROCESSOR_WAIT_WINDOW_S = 1.0
 
 
-class CaseObservers:
+class SimulatedPeers:
     """The stand-ins of a case, and the measure of how late they are."""
 
     def __init__(self, state: CaseState) -> None:
         self._state = state
 
-    async def start_peers(self, nursery: trio.Nursery) -> None:
+    async def start(self, nursery: trio.Nursery) -> None:
         """Starts the hosts, and an agent of discovery for each dispatcher."""
         state = self._state
         message = state.deployment.message
@@ -52,12 +52,12 @@
             state.hosts.append(host)
             await nursery.start(host.serve)
         for number in range(state.deployment.dispatcher_count):
-            agent = Agent(number, state.rows(), {}, state.now)
+            agent = Agent(number, state.endpoint_list(), {}, state.now)
             state.agents.append(agent)
             await nursery.start(agent.serve)
 
     async def measure_lag(self) -> None:
-        """How late the observers are, and how long dispatchers waited for a processor within a second."""
+        """How late the peers are, and how long dispatchers waited for a processor within a second."""
         state = self._state
         waits: deque[tuple[float, float]] = deque()
         while True:
@@ -67,13 +67,13 @@
             state.lag_s = max(state.lag_s, state.now() - before - LAG_INTERVAL_S)
             more_s = sum(each.program.processor_wait_s() for each in state.dispatchers) - waited_s
             waits.append((before, more_s / len(state.dispatchers)))
-            while waits[0][0] < before - STARVED_WINDOW_S:
+            while waits[0][0] < before - PROCESSOR_WAIT_WINDOW_S:
                 waits.popleft()
             state.starved_s = max(state.starved_s, sum(each for _, each in waits))
             state.evidence.lag_s = max(state.lag_s, state.starved_s)
 
 
-class Campaign:
+class CampaignCase:
     """One case, from the start of its processes to the judgement."""
 
     def __init__(self, seed: int, duration_s: float, root: Path = ROOT) -> None:
@@ -86,21 +86,21 @@
     async def run(self) -> CaseResult:
         state = self._state
         deployment = state.deployment
-        observers = CaseObservers(state)
+        peers = SimulatedPeers(state)
         events = draw_environment(
             state.seed, self._duration_s, deployment.dispatcher_count, len(deployment.hosts)
         )
         async with trio.open_nursery() as nursery:
             try:
-                await observers.start_peers(nursery)
+                await peers.start(nursery)
                 await self._processes.start_all()
-                state.load_begins()
-                nursery.start_soon(observers.measure_lag)
-                async with trio.open_nursery() as playing:
+                state.begin_load()
+                nursery.start_soon(peers.measure_lag)
+                async with trio.open_nursery() as case_nursery:
                     for event in events:
-                        playing.start_soon(self._faults.befall, event)
-                    playing.start_soon(self._clients.send_requests, playing, self._duration_s)
-                await trio.sleep(SETTLE_S)
+                        case_nursery.start_soon(self._faults.inject, event)
+                    case_nursery.start_soon(self._clients.send_requests, case_nursery, self._duration_s)
+                await trio.sleep(SETTLE_TIME_S)
             finally:
                 state.evidence.holds.ended_at = state.now()
                 self._processes.end_all()
@@ -110,4 +110,4 @@
 
 def play_case(seed: int, duration_s: float = 4.0, root: Path = ROOT) -> CaseResult:
     """Plays the case of this seed; clients send for `duration_s`."""
-    return trio.run(Campaign(seed, duration_s, root).run)
+    return trio.run(CampaignCase(seed, duration_s, root).run)
--- a/violetstack/rehearsal/fleet/campaign_environment.py
+++ b/violetstack/rehearsal/fleet/campaign_environment.py
@@ -12,10 +12,10 @@
 from violetstack.rehearsal.fleet.campaign_state import CaseState, Dispatcher, FaultSpan
 from violetstack.rehearsal.fleet.minimal_http import connect
 
-IDLE_FLOOD = 140
+IDLE_CLIENT_COUNT = 140
 COMPLETE_LIST_INTERVAL_S = 0.1
-FLOOD_AFTERMATH_S = 0.4
-SIGHUP_S = 0.2
+FLOOD_RECOVERY_S = 0.4
+RELOAD_TIME_S = 0.2
 """A configuration is read again within this time."""
 
 
@@ -26,20 +26,20 @@
         self._state = state
         self._processes = processes
 
-    async def befall(self, event: EnvironmentEvent) -> None:
+    async def inject(self, event: EnvironmentEvent) -> None:
         await trio.sleep(max(0.0, event.at - self._state.now()))
-        began = self._state.now()
+        began_at = self._state.now()
         if event.fault.name.startswith("HOST"):
-            await self._befall_host(event)
+            await self._inject_host_fault(event)
         elif event.fault.name.startswith("DISCOVERY"):
-            await self._befall_discovery(event)
+            await self._inject_discovery_fault(event)
         elif event.fault is EnvironmentFault.DESCRIPTORS_FULL:
-            await self._flood(self._state.dispatchers[event.target], event.duration_s)
+            await self._exhaust_descriptors(self._state.dispatchers[event.target], event.duration_s)
         else:
-            await self._signal(self._state.dispatchers[event.target], event)
-        self._state.spans.append(FaultSpan(event.fault, event.target, began, self._state.now()))
+            await self._inject_process_fault(self._state.dispatchers[event.target], event)
+        self._state.fault_spans.append(FaultSpan(event.fault, event.target, began_at, self._state.now()))
 
-    async def _befall_host(self, event: EnvironmentEvent) -> None:
+    async def _inject_host_fault(self, event: EnvironmentEvent) -> None:
         host = self._state.hosts[event.target]
         match event.fault:
             case EnvironmentFault.HOST_REFUSES:
@@ -57,11 +57,11 @@
                     agent.tell(host.row())
                 await trio.sleep(event.duration_s)
 
-    async def _befall_discovery(self, event: EnvironmentEvent) -> None:
+    async def _inject_discovery_fault(self, event: EnvironmentEvent) -> None:
         agent = self._state.agents[event.target]
         if event.fault is EnvironmentFault.DISCOVERY_COMPLETE_LISTS:
             for _ in range(int(event.duration_s / COMPLETE_LIST_INTERVAL_S)):
-                agent.tell_complete(self._state.rows())
+                agent.tell_complete(self._state.endpoint_list())
                 await trio.sleep(COMPLETE_LIST_INTERVAL_S)
             return
         if event.fault is EnvironmentFault.DISCOVERY_RESET:
@@ -75,25 +75,25 @@
         agent.mode = ""
         agent.hang_up()
 
-    async def _flood(self, dispatcher: Dispatcher, duration_s: float) -> None:
+    async def _exhaust_descriptors(self, dispatcher: Dispatcher, duration_s: float) -> None:
         """Idle clients take every descriptor that they can get."""
-        dispatcher.flood_begins(self._state.now())
+        dispatcher.begin_flood(self._state.now())
         streams = []
         with trio.move_on_after(duration_s):
-            for _ in range(IDLE_FLOOD):
+            for _ in range(IDLE_CLIENT_COUNT):
                 with suppress(OSError):
                     streams.append(await connect(dispatcher.program.at))
             await trio.sleep(duration_s)
         for stream in streams:
             stream.socket.close()
-        dispatcher.flood_ends(self._state.now() + FLOOD_AFTERMATH_S)
+        dispatcher.end_flood(self._state.now() + FLOOD_RECOVERY_S)
 
-    async def _signal(self, dispatcher: Dispatcher, event: EnvironmentEvent) -> None:
+    async def _inject_process_fault(self, dispatcher: Dispatcher, event: EnvironmentEvent) -> None:
         program = dispatcher.program
         match event.fault:
             case EnvironmentFault.SIGHUP:
                 program.send(signal.SIGHUP)
-                await trio.sleep(SIGHUP_S)
+                await trio.sleep(RELOAD_TIME_S)
             case (
                 EnvironmentFault.SIGSTOP_SHORT
                 | EnvironmentFault.SIGSTOP_LONG
--- a/violetstack/rehearsal/fleet/campaign_host.py
+++ b/violetstack/rehearsal/fleet/campaign_host.py
@@ -134,7 +134,7 @@
         self._resumed.set()
 
     def stop_connecting(self) -> None:
-        """New connections do not come up until `resume_connecting`: the queue of the listening socket is full."""
+        """New connections do not come up until `resume_connecting`: the accept queue is full."""
         self._accepting.cancel()
         self._stopped_at = self._clock()
         if self._listening.fileno() < 0:
--- a/violetstack/rehearsal/fleet/campaign_processes.py
+++ b/violetstack/rehearsal/fleet/campaign_processes.py
@@ -18,25 +18,25 @@
 from violetstack.rehearsal.fleet.programs import Program
 
 LISTEN_PORT = 5000
-SOCKETS = 96
+SOCKET_LIMIT = 96
 START_TIMEOUT_S = 30.0
 NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.3
 LATE_REQUEST_S = 0.7
 """A request that comes later than this after SIGTERM is lost if SIGKILL finds it unanswered."""
 MAX_DRAIN_S = 3.0
-CATCH_UP_S = 0.5
+RESUME_GRACE_S = 0.5
 """A process that was stopped may take this long to work off what came in meanwhile."""
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
-def _leave(_: Program) -> None:
+def _prepare_nothing(_: Program) -> None:
     """For programs that need no preparation."""
 
 
 class DispatcherProcesses:
     """What happens to dispatchers, and which requests a killed one owes no answer for."""
 
-    def __init__(self, state: CaseState, prepare: Callable[[Program], None] = _leave) -> None:
+    def __init__(self, state: CaseState, prepare: Callable[[Program], None] = _prepare_nothing) -> None:
         """`prepare` is called with each program before its first start."""
         self._state = state
         self._prepare = prepare
@@ -46,7 +46,7 @@
         """Returns once each is ready."""
         for number in range(self._state.deployment.dispatcher_count):
             address = loopback_address(number, LISTEN_PORT)
-            limits = Plan(seed=self._state.seed, sockets=SOCKETS)
+            limits = Plan(seed=self._state.seed, sockets=SOCKET_LIMIT)
             program = Program(number, address, self._configuration(number), limits, self._state.root)
             self._prepare(program)
             dispatcher = Dispatcher(program)
@@ -57,7 +57,7 @@
 
     def end_all(self) -> None:
         for dispatcher in self._state.dispatchers:
-            self._note_crash(dispatcher)
+            self._record_crash(dispatcher)
             dispatcher.program.end()
 
     def start(self, dispatcher: Dispatcher) -> None:
@@ -67,9 +67,9 @@
         dispatcher.program.start(self._state.now(), self._state.seed * 1000 + self._starts)
 
     async def await_ready(self, dispatcher: Dispatcher) -> None:
-        give_up_at = self._state.now() + START_TIMEOUT_S
+        start_deadline = self._state.now() + START_TIMEOUT_S
         while not dispatcher.accepting:
-            if self._state.now() > give_up_at:
+            if self._state.now() > start_deadline:
                 self._state.crashed.append(f"dispatcher {dispatcher.program.number} was not ready in time")
                 return
             try:
@@ -92,14 +92,14 @@
             "discovery": self._state.agents[number].address,
             "peer_listen": f"{peers[number][0]}:{peers[number][1]}",
             "peers": [f"{host}:{port}" for host, port in peers],
-            "limits": {"sockets": SOCKETS, "memory_mb": 192.0},
-            "known": {"version": 1, "full": True, "servers": self._state.rows()},
+            "limits": {"sockets": SOCKET_LIMIT, "memory_mb": 192.0},
+            "known": {"version": 1, "full": True, "servers": self._state.endpoint_list()},
             "settings": self._state.deployment.for_dispatcher(number),
         }
 
     async def kill(self, dispatcher: Dispatcher, down_s: float) -> None:
         """SIGKILL, and a new start later."""
-        self._note_crash(dispatcher)
+        self._record_crash(dispatcher)
         self._kill(dispatcher, since=math.inf)
         await trio.sleep(down_s)
         self.start(dispatcher)
@@ -108,17 +108,17 @@
     async def restart(self, dispatcher: Dispatcher) -> None:
         """SIGTERM, SIGKILL where it may come, and a new start."""
         program = dispatcher.program
-        self._note_crash(dispatcher)
+        self._record_crash(dispatcher)
         program.wanted = False
         program.send(signal.SIGTERM)
-        told_at = self._state.now()
+        signalled_at = self._state.now()
         kill_after_s = min(self._state.deployment.longest_timeout_s, MAX_DRAIN_S) + LATE_REQUEST_S
         with trio.move_on_after(kill_after_s):
             await trio.sleep(NEW_CONNECTIONS_AFTER_SIGTERM_S)
             dispatcher.accepting = False
             while program.process is not None and program.process.poll() is None:
-                await trio.sleep(POLL_S)
-        self._kill(dispatcher, since=told_at + LATE_REQUEST_S)
+                await trio.sleep(POLL_INTERVAL_S)
+        self._kill(dispatcher, since=signalled_at + LATE_REQUEST_S)
         self.start(dispatcher)
         await self.await_ready(dispatcher)
 
@@ -129,12 +129,12 @@
         program.send(signal.SIGSTOP)
         ends_at = self._state.now() + duration_s
         while self._state.now() < ends_at:
-            for exchange in self._state.open.values():
+            for exchange in self._state.open_exchanges.values():
                 if exchange.dispatcher == program.number:
-                    exchange.paused_until = max(exchange.paused_until, ends_at + CATCH_UP_S)
-            await trio.sleep(POLL_S)
+                    exchange.paused_until = max(exchange.paused_until, ends_at + RESUME_GRACE_S)
+            await trio.sleep(POLL_INTERVAL_S)
         program.send(signal.SIGCONT)
-        self._state.excuse_holds(program.number, self._state.now() + CATCH_UP_S)
+        self._state.excuse_holds(program.number, self._state.now() + RESUME_GRACE_S)
 
     def _kill(self, dispatcher: Dispatcher, since: float) -> None:
         """SIGKILL excuses what it finds unanswered, if that was sent before `since` and is not overdue."""
@@ -143,7 +143,7 @@
         if dispatcher.program.process is not None and dispatcher.program.process.poll() is None:
             self._state.excuse_holds(dispatcher.program.number, math.inf)
         dispatcher.program.end()
-        for exchange in self._state.open.values():
+        for exchange in self._state.open_exchanges.values():
             if exchange.dispatcher != dispatcher.program.number:
                 continue
             sent_at = exchange.sent_at
@@ -155,9 +155,9 @@
                 exchange.excused = "killed"
             elif exchange.paused_until >= now:
                 exchange.excused = "killed while stopped"
-        dispatcher.forget_connections()
+        dispatcher.close_idle_connections()
 
-    def _note_crash(self, dispatcher: Dispatcher) -> None:
+    def _record_crash(self, dispatcher: Dispatcher) -> None:
         program = dispatcher.program
         code = program.process.poll() if program.process is not None else None
         if program.wanted and code is not None:
--- a/violetstack/rehearsal/fleet/campaign_requests.py
+++ b/violetstack/rehearsal/fleet/campaign_requests.py
@@ -74,7 +74,7 @@
         else:
             self._state.statuses[_outcome(exchange)] += 1
         finally:
-            del self._state.open[exchange.id]
+            del self._state.open_exchanges[exchange.id]
 
     def _new_exchange(
         self, rng: random.Random, request_id: str, script: RequestScript, dispatcher: Dispatcher
@@ -86,7 +86,7 @@
         exchange.reads_slowly = script.reads_slowly
         self._state.scripts[request_id] = script
         self._state.evidence.exchanges[request_id] = exchange
-        self._state.open[request_id] = exchange
+        self._state.open_exchanges[request_id] = exchange
         return exchange
 
     def _new_message(
@@ -98,7 +98,7 @@
 
     def _choose_dispatcher(self, rng: random.Random) -> Dispatcher | None:
         """One that takes new connections, or still has kept ones."""
-        candidates = [each for each in self._state.dispatchers if each.accepting or each.kept]
+        candidates = [each for each in self._state.dispatchers if each.accepting or each.idle_connections]
         return rng.choice(candidates) if candidates else None
 
     async def _run_exchange(
@@ -124,13 +124,13 @@
                 await self._read_pipelined_answer(call, pipelined, exchange)
         finally:
             if pipelined is not None:
-                del self._state.open[pipelined.exchange.id]
+                del self._state.open_exchanges[pipelined.exchange.id]
         if script.behaviour is ClientBehaviour.SENDS_NEXT_REQUEST_AT_ONCE and call.reusable:
             call = await self._send_next_request(rng, call, exchange, dispatcher)
         if self._raced_with_close(exchange, call):
             dispatcher, call = await self._resend(exchange, message, rng)
         if call.reusable:
-            dispatcher.kept.append((call.connection, exchange))
+            dispatcher.idle_connections.append((call.connection, exchange))
         elif not exchange.status and exchange.server_closed_at is not None:
             self._excuse_if_flooded(dispatcher, exchange)
 
@@ -183,7 +183,7 @@
         except NotAcceptedError:
             del self._state.evidence.exchanges[second.id]
         finally:
-            del self._state.open[second.id]
+            del self._state.open_exchanges[second.id]
         self._state.statuses[f"right behind: {_outcome(second)}"] += 1
         return next_call
 
@@ -225,8 +225,8 @@
 
     def _take_idle_connection(self, dispatcher: Dispatcher, rng: random.Random) -> ClientConnection | None:
         may_reuse = not dispatcher.accepting or rng.random() < CONNECTION_REUSE_SHARE
-        while dispatcher.kept and may_reuse:
-            connection, last_exchange = dispatcher.kept.pop()
+        while dispatcher.idle_connections and may_reuse:
+            connection, last_exchange = dispatcher.idle_connections.pop()
             if connection.stream.socket.fileno() < 0:
                 continue  # closed by this client meanwhile
             if connection.stream.socket.is_readable() and rng.random() > UNCHECKED_REUSE_SHARE:
@@ -245,7 +245,7 @@
     def _excuse_if_flooded(self, dispatcher: Dispatcher, exchange: ClientExchange) -> None:
         """With the descriptors full, new connections may be closed unread."""
         closed_at = exchange.server_closed_at
-        flooded = dispatcher.flooded_from <= (closed_at or 0.0) <= dispatcher.flooded_until
+        flooded = dispatcher.flood_began_at <= (closed_at or 0.0) <= dispatcher.flood_ended_at
         if flooded and not exchange.reused_connection:
             exchange.excused = "descriptors full"
 
--- a/violetstack/rehearsal/fleet/campaign_result.py
+++ b/violetstack/rehearsal/fleet/campaign_result.py
@@ -20,7 +20,7 @@
 INVARIANT_HELD = "held"
 
 
-class BrokenCase(msgspec.Struct):
+class ViolationReport(msgspec.Struct):
     """One violation, with what is known of its request."""
 
     rule: str
@@ -45,7 +45,7 @@
     requests: int
     attempts: int
     statuses: dict[str, int]
-    violations: list[BrokenCase]
+    violations: list[ViolationReport]
     crashed: list[str]
     lag_s: float
     starved_s: float
@@ -60,7 +60,7 @@
         return self.lag_s > MAX_LAG_S or self.starved_s > MAX_STARVED_S
 
 
-def _broken_invariant(line: dict[str, Any]) -> str:
+def _violated_invariant(line: dict[str, Any]) -> str:
     """Which of its own checks a dispatcher's log line says was broken; empty if none was."""
     if line.get("event") == "invariant_violated":
         return str(line["rule"])
@@ -85,11 +85,11 @@
         found = audit(
             self._state.deployment.settings, self._state.deployment.drain_grace_s, self._state.evidence
         )
-        broken_lines = [
+        invariant_lines = [
             {"dispatcher": n, **line}
             for n, log in enumerate(logs)
             for line in log
-            if _broken_invariant(line) and not self._is_excused(line)
+            if _violated_invariant(line) and not self._is_excused(line)
         ]
         counted: Counter[str] = Counter(str(line.get("event")) for log in logs for line in log)
         return CaseResult(
@@ -99,14 +99,14 @@
             requests=len(self._state.evidence.exchanges),
             attempts=len(self._state.evidence.attempts),
             statuses=dict(self._state.statuses),
-            violations=[self._broken(each, logs) for each in found],
+            violations=[self._violation_report(each, logs) for each in found],
             crashed=self._state.crashed,
             lag_s=round(self._state.lag_s, 3),
             starved_s=round(self._state.starved_s, 3),
             pairs=sorted(self._pairs()),
             triples=sorted(self._triples()),
-            invariants=dict(Counter(_broken_invariant(line) for line in broken_lines)),
-            invariant_lines=broken_lines[:SHOWN_LOG_LINES],
+            invariants=dict(Counter(_violated_invariant(line) for line in invariant_lines)),
+            invariant_lines=invariant_lines[:SHOWN_LOG_LINES],
             events=dict(counted),
         )
 
@@ -114,7 +114,7 @@
         """Whether a dispatcher tells of a hold that it could not release: the auditor judges the rest."""
         return line.get("rule") == INVARIANT_HELD and line["id"] in self._state.evidence.holds.excused_until
 
-    def _broken(self, violation: Violation, logs: list[list[dict[str, Any]]]) -> BrokenCase:
+    def _violation_report(self, violation: Violation, logs: list[list[dict[str, Any]]]) -> ViolationReport:
         request_id = violation.request_id
         lines = [
             {"dispatcher": n, **line}
@@ -122,7 +122,7 @@
             for line in log
             if line.get("id") == request_id
         ]
-        return BrokenCase(
+        return ViolationReport(
             violation.rule.value, str(violation), self._timeline(request_id), lines[:SHOWN_LOG_LINES]
         )
 
@@ -148,8 +148,8 @@
                 if attempt.closed_at is not None:
                     rows.append((attempt.closed_at, f"over at {attempt.host}"))
         rows += [
-            (began, f"{fault.value} {target} until {end:.3f}")
-            for fault, target, began, end in self._state.spans
+            (began_at, f"{fault.value} {target} until {end:.3f}")
+            for fault, target, began_at, end in self._state.fault_spans
         ]
         shown = [f"{at:.3f} {text}" for at, text in sorted(rows)]
         if script is not None:
@@ -168,11 +168,11 @@
             found.update((min(pair), max(pair)) for pair in combinations(own, 2))
             around = [
                 fault.value
-                for fault, _, began, end in self._state.spans
-                if self._overlaps(exchange, began, end)
+                for fault, _, began_at, end in self._state.fault_spans
+                if self._overlaps(exchange, began_at, end)
             ]
             found.update((min(pair), max(pair)) for pair in product(own, around))
-        for one, other in combinations(self._state.spans, 2):
+        for one, other in combinations(self._state.fault_spans, 2):
             if one[2] <= other[3] and other[2] <= one[3]:
                 found.add((min(one[0].value, other[0].value), max(one[0].value, other[0].value)))
         return found
@@ -180,16 +180,16 @@
     def _triples(self) -> set[tuple[str, str, str]]:
         """Faults of the environment, three of which were in force at the same time."""
         found = set()
-        for spans in combinations(self._state.spans, 3):
-            if max(span.began for span in spans) <= min(span.ended for span in spans):
+        for spans in combinations(self._state.fault_spans, 3):
+            if max(span.began_at for span in spans) <= min(span.ended_at for span in spans):
                 first, second, third = sorted(span.fault.value for span in spans)
                 found.add((first, second, third))
         return found
 
     @staticmethod
-    def _overlaps(exchange: ClientExchange, began: float, end: float) -> bool:
+    def _overlaps(exchange: ClientExchange, began_at: float, end: float) -> bool:
         if exchange.sent_at is None:
             return False
         ends = (exchange.answered_at, exchange.server_closed_at, exchange.client_closed_at)
         until = min((at for at in ends if at is not None), default=exchange.waited_until)
-        return exchange.sent_at <= end and began <= until
+        return exchange.sent_at <= end and began_at <= until
--- a/violetstack/rehearsal/fleet/campaign_state.py
+++ b/violetstack/rehearsal/fleet/campaign_state.py
@@ -14,17 +14,17 @@
 from violetstack.rehearsal.fleet.campaign_settings import draw_deployment
 from violetstack.rehearsal.fleet.network import Agent
 from violetstack.rehearsal.fleet.programs import Program
-from violetstack.rehearsal.fleet.soak_faults import Fault
+from violetstack.rehearsal.fleet.soak_faults import InjectedFault
 from violetstack.rehearsal.fleet.socket_audit import ClientExchange, Evidence
 
 
 class FaultSpan(NamedTuple):
     """When a fault of the environment began and ended."""
 
-    fault: Fault
+    fault: InjectedFault
     target: int
-    began: float
-    ended: float
+    began_at: float
+    ended_at: float
 
 
 class Dispatcher:
@@ -34,32 +34,35 @@
         self.program = program
         self.accepting = False
         """New connections go there."""
-        self.kept: list[tuple[ClientConnection, ClientExchange]] = []
-        self.flooded_from = math.inf
-        self.flooded_until = -math.inf
-        self._floods = 0
+        self.idle_connections: list[tuple[ClientConnection, ClientExchange]] = []
+        self.flood_began_at = math.inf
+        self.flood_ended_at = -math.inf
+        self._active_floods = 0
 
-    def flood_begins(self, now: float) -> None:
+    def begin_flood(self, now: float) -> None:
         """Clients take what descriptors there are; several floods may overlap."""
-        if not self._floods:
-            self.flooded_from = now
-        self._floods += 1
-        self.flooded_until = math.inf
+        if not self._active_floods:
+            self.flood_began_at = now
+        self._active_floods += 1
+        self.flood_ended_at = math.inf
 
-    def flood_ends(self, until: float) -> None:
+    def end_flood(self, until: float) -> None:
         """One flood is over; with the last one, its aftermath ends at `until`."""
-        self._floods -= 1
-        if not self._floods:
-            self.flooded_until = until
+        self._active_floods -= 1
+        if not self._active_floods:
+            self.flood_ended_at = until
 
-    def forget_connections(self) -> None:
-        for connection, _ in self.kept:
+    def close_idle_connections(self) -> None:
+        for connection, _ in self.idle_connections:
             connection.close()
-        self.kept.clear()
+        self.idle_connections.clear()
 
 
 class CaseState:
-    """Attributes are by dispatcher or host number, or by request id; `open` are requests without an end."""
+    """The shared state of one case, keyed by the number of a dispatcher or host, or by request id.
+
+    `open_exchanges` holds the requests that have not ended yet.
+    """
 
     def __init__(self, seed: int, root: Path, dispatchers: int | None = None) -> None:
         self.seed = seed
@@ -67,7 +70,7 @@
         self.deployment = draw_deployment(seed, dispatchers)
         self.evidence = Evidence()
         self.scripts: dict[str, RequestScript] = {}
-        self.open: dict[str, ClientExchange] = {}
+        self.open_exchanges: dict[str, ClientExchange] = {}
         self.hosts: list[CampaignHost] = []
         self.agents: list[Agent] = []
         """The agent that each dispatcher's configuration names."""
@@ -75,17 +78,17 @@
         self.dispatchers: list[Dispatcher] = []
         self.crashed: list[str] = []
         self.statuses: Counter[str] = Counter()
-        self.spans: list[FaultSpan] = []
+        self.fault_spans: list[FaultSpan] = []
         self.lag_s = 0.0
         self.starved_s = 0.0
-        self._began = time.monotonic()
+        self._load_began_at = time.monotonic()
 
     def now(self) -> float:
         """Seconds since the load began."""
-        return time.monotonic() - self._began
+        return time.monotonic() - self._load_began_at
 
-    def load_begins(self) -> None:
-        self._began = time.monotonic()
+    def begin_load(self) -> None:
+        self._load_began_at = time.monotonic()
         self.evidence.process_starts.clear()  # those before count from the beginning
         self.lag_s = 0.0
         self.starved_s = 0.0
@@ -105,6 +108,6 @@
         exchanges = self.evidence.exchanges.values()
         self.evidence.holds.excuse((each.id for each in exchanges if each.dispatcher == dispatcher), until)
 
-    def rows(self) -> list[dict[str, Any]]:
+    def endpoint_list(self) -> list[dict[str, Any]]:
         """The complete endpoint list."""
         return [host.row() for host in self.hosts]
--- a/violetstack/rehearsal/fleet/fault_shim.py
+++ b/violetstack/rehearsal/fleet/fault_shim.py
@@ -22,7 +22,7 @@
     """There is no C compiler, or it does not take the source."""
 
 
-class Call(IntEnum):
+class SystemCall(IntEnum):
     """The calls that can fail, in the order of the C source."""
 
     SOCKET = 0
@@ -56,18 +56,18 @@
 
     def __init__(self) -> None:
         self.descriptor = os.memfd_create("faults")
-        size = struct.calcsize(OFFSET_FORMAT) + len(Call) * struct.calcsize(CALL_FORMAT)
+        size = struct.calcsize(OFFSET_FORMAT) + len(SystemCall) * struct.calcsize(CALL_FORMAT)
         os.ftruncate(self.descriptor, size)
         self._page = mmap.mmap(self.descriptor, size)
 
-    def fail(self, call: Call, error: int, period: int = 1) -> None:
+    def fail(self, call: SystemCall, error: int, period: int = 1) -> None:
         """Every `period`-th call fails with `error`; SEND with error 0 writes a single byte."""
         struct.pack_into("ii", self._page, self._position(call), error, period)
 
-    def stop_failing(self, call: Call) -> None:
+    def stop_failing(self, call: SystemCall) -> None:
         struct.pack_into("ii", self._page, self._position(call), errno.EINVAL, 0)
 
-    def failed(self, call: Call) -> int:
+    def failed(self, call: SystemCall) -> int:
         """How many calls have failed so far."""
         return int(struct.unpack_from(CALL_FORMAT, self._page, self._position(call))[3])
 
@@ -80,5 +80,5 @@
         os.close(self.descriptor)
 
     @staticmethod
-    def _position(call: Call) -> int:
+    def _position(call: SystemCall) -> int:
         return struct.calcsize(OFFSET_FORMAT) + call * struct.calcsize(CALL_FORMAT)
--- a/violetstack/rehearsal/fleet/soak.py
+++ b/violetstack/rehearsal/fleet/soak.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from violetstack.rehearsal.fleet.campaign import SETTLE_S, CaseObservers
+from violetstack.rehearsal.fleet.campaign import SETTLE_TIME_S, SimulatedPeers
 from violetstack.rehearsal.fleet.campaign_environment import EnvironmentFaults
 from violetstack.rehearsal.fleet.campaign_processes import DispatcherProcesses
 from violetstack.rehearsal.fleet.campaign_requests import CaseClients
@@ -66,33 +66,33 @@
 
     async def run(self) -> CaseResult:
         """Plays and judges the seed."""
-        observers = CaseObservers(self._state)
+        peers = SimulatedPeers(self._state)
         with ExitStack() as stack:
             async with trio.open_nursery() as nursery:
                 try:
-                    await observers.start_peers(nursery)
+                    await peers.start(nursery)
                     await self._processes.start_all()
                     for number, pipe in self._pipes.items():
                         nursery.start_soon(pipe.copy, self._state.dispatchers[number].program.log)
                         stack.callback(pipe.close)
-                    self._state.load_begins()
-                    nursery.start_soon(observers.measure_lag)
-                    await self._play(nursery)
+                    self._state.begin_load()
+                    nursery.start_soon(peers.measure_lag)
+                    await self._run_load_and_faults(nursery)
                 finally:
                     self._state.evidence.holds.ended_at = self._state.now()
                     self._processes.end_all()
-                await trio.sleep(SETTLE_S)  # for what the log's pipes still hold
+                await trio.sleep(SETTLE_TIME_S)  # for what the log's pipes still hold
                 nursery.cancel_scope.cancel()
         for faults in self._process_faults.values():
             faults.close()
         return CaseReport(self._state).result(self.events)
 
-    async def _play(self, peers: trio.Nursery) -> None:
-        async with trio.open_nursery() as playing:
+    async def _run_load_and_faults(self, peers: trio.Nursery) -> None:
+        async with trio.open_nursery() as case_nursery:
             for event in self.events:
-                playing.start_soon(self._environment.befall, event, peers)
-            playing.start_soon(self._clients.send_requests, playing, self._plan.duration_s)
-        await trio.sleep(SETTLE_S)
+                case_nursery.start_soon(self._environment.inject, event, peers)
+            case_nursery.start_soon(self._clients.send_requests, case_nursery, self._plan.duration_s)
+        await trio.sleep(SETTLE_TIME_S)
 
     def _prepare(self, program: Program) -> None:
         """Gives a program the shim and a pipe for its log; both outlive its restarts."""
@@ -115,14 +115,14 @@
 def shrink(plan: SoakPlan, result: CaseResult) -> list[SoakEvent]:
     """Drops troubles one after the other while one of the result's rules is still broken without them."""
     kept = Soak(plan).events
-    rules = _broken_rules(result)
+    rules = _violated_rules(result)
     for event in list(kept):
         fewer = [each for each in kept if each is not event]
-        if rules & _broken_rules(play_soak(plan, fewer)):
+        if rules & _violated_rules(play_soak(plan, fewer)):
             kept = fewer
     return kept
 
 
-def _broken_rules(result: CaseResult) -> set[str]:
+def _violated_rules(result: CaseResult) -> set[str]:
     crash = {"crash"} if result.crashed else set()
     return {each.rule for each in result.violations} | set(result.invariants) | crash
--- a/violetstack/rehearsal/fleet/soak_environment.py
+++ b/violetstack/rehearsal/fleet/soak_environment.py
@@ -15,12 +15,12 @@
 
 import trio
 
-from violetstack.rehearsal.fleet.campaign_environment import FLOOD_AFTERMATH_S, EnvironmentFaults
+from violetstack.rehearsal.fleet.campaign_environment import FLOOD_RECOVERY_S, EnvironmentFaults
 from violetstack.rehearsal.fleet.campaign_faults import EnvironmentEvent, EnvironmentFault
 from violetstack.rehearsal.fleet.campaign_host import CampaignHost
 from violetstack.rehearsal.fleet.campaign_processes import DispatcherProcesses
 from violetstack.rehearsal.fleet.campaign_state import CaseState, Dispatcher, FaultSpan
-from violetstack.rehearsal.fleet.fault_shim import Call, ProcessFaults
+from violetstack.rehearsal.fleet.fault_shim import ProcessFaults, SystemCall
 from violetstack.rehearsal.fleet.minimal_http import connect
 from violetstack.rehearsal.fleet.network import Agent
 from violetstack.rehearsal.fleet.programs import die_with_parent
@@ -28,14 +28,14 @@
 
 PIPE_BYTES = 4096
 CLOCK_STEP_S = 3_600.0
-RELOADS = 4
+RELOAD_COUNT = 4
 RELOAD_INTERVAL_S = 0.05
-RELOAD_TAKES_S = 0.3
-SERIES_PAUSE_S = 0.7
-CROWD_INTERVAL_S = 0.02
+RELOAD_TIME_S = 0.3
+MAX_SIGNAL_PAUSE_S = 0.7
+FLOOD_INTERVAL_S = 0.02
 HALF_REQUEST = b"POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\n"
 BUSY_PROGRAM = "while True: pass"
-CALLS_THAT_CONNECT = frozenset({Call.SOCKET, Call.CONNECT})
+CONNECTING_CALLS = frozenset({SystemCall.SOCKET, SystemCall.CONNECT})
 """While they fail, a release may have no connection to go by."""
 RESTARTS = frozenset({EnvironmentFault.SIGTERM, EnvironmentFault.SIGKILL})
 
@@ -66,21 +66,21 @@
     def __init__(self) -> None:
         self.read_end, self.write_end = os.pipe()
         fcntl.fcntl(self.read_end, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
-        self._going = trio.Event()
-        self._going.set()
+        self._not_stalled = trio.Event()
+        self._not_stalled.set()
 
     def stall(self) -> None:
-        """Nothing is read until `go_on`."""
-        self._going = trio.Event()
+        """Nothing is read until `resume`."""
+        self._not_stalled = trio.Event()
 
-    def go_on(self) -> None:
-        self._going.set()
+    def resume(self) -> None:
+        self._not_stalled.set()
 
     async def copy(self, log: IO[bytes]) -> None:
         """Copies what comes until cancelled."""
         async with trio.lowlevel.FdStream(os.dup(self.read_end)) as stream:
             while True:
-                await self._going.wait()
+                await self._not_stalled.wait()
                 data = await stream.receive_some(PIPE_BYTES)
                 log.seek(0, os.SEEK_END)
                 log.write(data)
@@ -106,27 +106,27 @@
         self._processes = processes
         self._process_faults = process_faults
         self._pipes = pipes
-        self._restarting: dict[int, trio.Lock] = defaultdict(trio.Lock)
+        self._restart_locks: dict[int, trio.Lock] = defaultdict(trio.Lock)
 
-    async def befall(self, event: SoakEvent, peers: trio.Nursery) -> None:
+    async def inject(self, event: SoakEvent, peers: trio.Nursery) -> None:
         """Waits for the event's time, carries it out and notes when it was in force."""
         await trio.sleep(max(0.0, event.at - self._state.now()))
         if isinstance(event.fault, EnvironmentFault):
-            await self._befall_as_campaign(event, event.fault)
+            await self._inject_campaign_fault(event, event.fault)
             return
-        began = self._state.now()
-        await self._befall(event, event.fault, peers)
-        self._state.spans.append(FaultSpan(event.fault, event.target, began, self._state.now()))
+        began_at = self._state.now()
+        await self._inject(event, event.fault, peers)
+        self._state.fault_spans.append(FaultSpan(event.fault, event.target, began_at, self._state.now()))
 
-    async def _befall_as_campaign(self, event: SoakEvent, fault: EnvironmentFault) -> None:
+    async def _inject_campaign_fault(self, event: SoakEvent, fault: EnvironmentFault) -> None:
         campaign_event = EnvironmentEvent(event.at, event.duration_s, fault, event.target)
         if fault not in RESTARTS:
-            await self._campaign.befall(campaign_event)
+            await self._campaign.inject(campaign_event)
             return
-        async with self._restarting[event.target]:
-            await self._campaign.befall(campaign_event)
+        async with self._restart_locks[event.target]:
+            await self._campaign.inject(campaign_event)
 
-    async def _befall(self, event: SoakEvent, fault: SoakFault, peers: trio.Nursery) -> None:
+    async def _inject(self, event: SoakEvent, fault: SoakFault, peers: trio.Nursery) -> None:
         match fault:
             case SoakFault.HOST_RESETS_CONNECTIONS:
                 self._state.hosts[event.target].hang_up()
@@ -135,16 +135,18 @@
             case SoakFault.HOST_FREEZES_AND_BEGINS | SoakFault.HOST_FREEZES_AND_RESETS:
                 resets = fault is SoakFault.HOST_FREEZES_AND_RESETS
                 await self._freeze([self._state.hosts[event.target]], event.duration_s, resets=resets)
-            case SoakFault.HOST_HALF_FREEZE:
+            case SoakFault.HOST_HALF_OF_ALL_FREEZE:
                 hosts = self._state.hosts[event.target % 2 :: 2]
                 await self._freeze(hosts, event.duration_s, resets=bool(event.target % 2))
-            case SoakFault.HOST_VANISHES:
-                await self._vanish(self._state.hosts[event.target], event.duration_s)
+            case SoakFault.HOST_BECOMES_UNREACHABLE:
+                await self._make_unreachable(self._state.hosts[event.target], event.duration_s)
             case SoakFault.SIGNAL_SERIES:
                 await self._send_signal_series(event)
-            case SoakFault.CROWD:
-                await self._crowd(self._state.dispatchers[event.target], event.duration_s)
-            case SoakFault.BUSY_MACHINE:
+            case SoakFault.CONNECTION_FLOOD:
+                await self._flood_with_incomplete_requests(
+                    self._state.dispatchers[event.target], event.duration_s
+                )
+            case SoakFault.CPU_CONTENTION:
                 await _keep_machine_busy(event.duration_s)
             case SoakFault.LOG_STALLS:
                 await self._stall_log(event)
@@ -152,7 +154,7 @@
                 await self._reload(self._state.dispatchers[event.target])
             case SoakFault.DISCOVERY_MOVES:
                 await self._move_discovery(self._state.dispatchers[event.target], peers)
-            case SoakFault.CLOCK_FORWARD | SoakFault.CLOCK_BACK | SoakFault.CLOCK_STEPPED_OVER_RESTART:
+            case SoakFault.CLOCK_FORWARD | SoakFault.CLOCK_BACK | SoakFault.CLOCK_STEP_AND_RESTART:
                 await self._step_clock(event, fault)
             case _:
                 await self._fail_calls(event, FailingCall[fault.name])
@@ -172,7 +174,7 @@
         for host in hosts:
             host.thaw(resets=resets)
 
-    async def _vanish(self, host: CampaignHost, duration_s: float) -> None:
+    async def _make_unreachable(self, host: CampaignHost, duration_s: float) -> None:
         """Open connections fall silent, new ones do not come up; all are reset once the host is back."""
         host.freeze()
         host.stop_connecting()
@@ -184,16 +186,16 @@
         """Two restarts with a reload in between, the second within a second of the first start."""
         dispatcher = self._state.dispatchers[event.target]
         rng = random.Random(f"signals {self._state.seed} {event.at}")
-        async with self._restarting[event.target]:
+        async with self._restart_locks[event.target]:
             await self._processes.restart(dispatcher)
-            await trio.sleep(rng.random() * SERIES_PAUSE_S)
+            await trio.sleep(rng.random() * MAX_SIGNAL_PAUSE_S)
             dispatcher.program.send(signal.SIGHUP)
-            await trio.sleep(rng.random() * SERIES_PAUSE_S)
+            await trio.sleep(rng.random() * MAX_SIGNAL_PAUSE_S)
             await self._processes.restart(dispatcher)
 
-    async def _crowd(self, dispatcher: Dispatcher, duration_s: float) -> None:
+    async def _flood_with_incomplete_requests(self, dispatcher: Dispatcher, duration_s: float) -> None:
         """New connections all the time, each with half a request and no more, over restarts as well."""
-        dispatcher.flood_begins(self._state.now())
+        dispatcher.begin_flood(self._state.now())
         streams: list[trio.SocketStream] = []
         ends_at = self._state.now() + duration_s
         while self._state.now() < ends_at:
@@ -201,44 +203,44 @@
                 stream = await connect(dispatcher.program.at)
                 streams.append(stream)
                 await stream.send_all(HALF_REQUEST)
-            await trio.sleep(CROWD_INTERVAL_S)
+            await trio.sleep(FLOOD_INTERVAL_S)
         for stream in streams:
             stream.socket.close()
-        dispatcher.flood_ends(self._state.now() + FLOOD_AFTERMATH_S)
+        dispatcher.end_flood(self._state.now() + FLOOD_RECOVERY_S)
 
     async def _stall_log(self, event: SoakEvent) -> None:
         pipe = self._pipes[event.target]
         pipe.stall()
         await trio.sleep(event.duration_s)
-        pipe.go_on()
+        pipe.resume()
 
     async def _reload(self, dispatcher: Dispatcher) -> None:
-        for _ in range(RELOADS):
+        for _ in range(RELOAD_COUNT):
             dispatcher.program.send(signal.SIGHUP)
             await trio.sleep(RELOAD_INTERVAL_S)
-        await trio.sleep(RELOAD_TAKES_S)
+        await trio.sleep(RELOAD_TIME_S)
 
     async def _move_discovery(self, dispatcher: Dispatcher, peers: trio.Nursery) -> None:
         """Another agent has the list; the configuration names it, and SIGHUP says so."""
         program = dispatcher.program
-        agent = Agent(program.number, self._state.rows(), {}, self._state.now)
+        agent = Agent(program.number, self._state.endpoint_list(), {}, self._state.now)
         agent.begin_at(self._state.agents[program.number].version)
         await peers.start(agent.serve)
         self._state.move_agent(program.number, agent)
         program.told["discovery"] = agent.address
-        async with self._restarting[program.number]:
+        async with self._restart_locks[program.number]:
             if program.process is not None and program.process.poll() is None:
                 program.rewrite_configuration()
                 program.send(signal.SIGHUP)
-        await trio.sleep(RELOAD_TAKES_S)
+        await trio.sleep(RELOAD_TIME_S)
 
     async def _step_clock(self, event: SoakEvent, fault: SoakFault) -> None:
         faults = self._process_faults.get(event.target)
         if faults is None:
             return
         faults.step_wall_clock(-CLOCK_STEP_S if fault is SoakFault.CLOCK_BACK else CLOCK_STEP_S)
-        if fault is SoakFault.CLOCK_STEPPED_OVER_RESTART:
-            async with self._restarting[event.target]:
+        if fault is SoakFault.CLOCK_STEP_AND_RESTART:
+            async with self._restart_locks[event.target]:
                 await self._processes.restart(self._state.dispatchers[event.target])
         await trio.sleep(event.duration_s)
         faults.step_wall_clock(0.0)
@@ -251,5 +253,5 @@
         faults.fail(call, error, period)
         await trio.sleep(event.duration_s)
         faults.stop_failing(call)
-        if call in CALLS_THAT_CONNECT:
-            self._state.excuse_holds(event.target, self._state.now() + FLOOD_AFTERMATH_S)
+        if call in CONNECTING_CALLS:
+            self._state.excuse_holds(event.target, self._state.now() + FLOOD_RECOVERY_S)
--- a/violetstack/rehearsal/fleet/soak_faults.py
+++ b/violetstack/rehearsal/fleet/soak_faults.py
@@ -12,7 +12,7 @@
     FAULT_DURATIONS_S,
     EnvironmentFault,
 )
-from violetstack.rehearsal.fleet.fault_shim import Call
+from violetstack.rehearsal.fleet.fault_shim import SystemCall
 
 
 class SoakFault(Enum):
@@ -31,38 +31,38 @@
     POLL_ENOMEM = "poll ENOMEM"
     CLOCK_FORWARD = "clock an hour forward"
     CLOCK_BACK = "clock an hour back"
-    CLOCK_STEPPED_OVER_RESTART = "clock stepped over a restart"
+    CLOCK_STEP_AND_RESTART = "clock stepped over a restart"
     LOG_STALLS = "log reader stalls"
     RELOADS = "reloads in a row"
     DISCOVERY_MOVES = "SIGHUP moves discovery"
     SIGNAL_SERIES = "SIGTERM, SIGKILL, start, SIGHUP, SIGTERM"
-    CROWD = "crowd of clients without a whole request"
-    BUSY_MACHINE = "busy machine"
+    CONNECTION_FLOOD = "crowd of clients without a whole request"
+    CPU_CONTENTION = "busy machine"
     HOST_RESETS_CONNECTIONS = "host resets connections"
     HOST_HANGS = "host hangs"
     HOST_FREEZES_AND_BEGINS = "host freezes, then begins what has come"
     HOST_FREEZES_AND_RESETS = "host freezes, then resets"
-    HOST_VANISHES = "host vanishes and comes back"
-    HOST_HALF_FREEZE = "half of the hosts freeze"
+    HOST_BECOMES_UNREACHABLE = "host vanishes and comes back"
+    HOST_HALF_OF_ALL_FREEZE = "half of the hosts freeze"
 
 
-Fault = EnvironmentFault | SoakFault
+InjectedFault = EnvironmentFault | SoakFault
 
 
 class FailingCall(Enum):
     """The system call of a fault: the call, its error, and how many calls there are for each that fails."""
 
-    SOCKET_ENFILE = (Call.SOCKET, errno.ENFILE, 1)
-    SOCKET_EMFILE = (Call.SOCKET, errno.EMFILE, 1)
-    CONNECT_ENOBUFS = (Call.CONNECT, errno.ENOBUFS, 1)
-    CONNECT_EADDRNOTAVAIL = (Call.CONNECT, errno.EADDRNOTAVAIL, 1)
-    CONNECT_ENETUNREACH = (Call.CONNECT, errno.ENETUNREACH, 2)
-    ACCEPT_ENOBUFS = (Call.ACCEPT, errno.ENOBUFS, 2)
-    ACCEPT_ECONNABORTED = (Call.ACCEPT, errno.ECONNABORTED, 2)
-    SEND_ONE_BYTE = (Call.SEND, 0, 3)
-    SEND_ENOBUFS = (Call.SEND, errno.ENOBUFS, 3)
-    RECV_ENOMEM = (Call.RECV, errno.ENOMEM, 3)
-    POLL_ENOMEM = (Call.POLL, errno.ENOMEM, 2)
+    SOCKET_ENFILE = (SystemCall.SOCKET, errno.ENFILE, 1)
+    SOCKET_EMFILE = (SystemCall.SOCKET, errno.EMFILE, 1)
+    CONNECT_ENOBUFS = (SystemCall.CONNECT, errno.ENOBUFS, 1)
+    CONNECT_EADDRNOTAVAIL = (SystemCall.CONNECT, errno.EADDRNOTAVAIL, 1)
+    CONNECT_ENETUNREACH = (SystemCall.CONNECT, errno.ENETUNREACH, 2)
+    ACCEPT_ENOBUFS = (SystemCall.ACCEPT, errno.ENOBUFS, 2)
+    ACCEPT_ECONNABORTED = (SystemCall.ACCEPT, errno.ECONNABORTED, 2)
+    SEND_ONE_BYTE = (SystemCall.SEND, 0, 3)
+    SEND_ENOBUFS = (SystemCall.SEND, errno.ENOBUFS, 3)
+    RECV_ENOMEM = (SystemCall.RECV, errno.ENOMEM, 3)
+    POLL_ENOMEM = (SystemCall.POLL, errno.ENOMEM, 2)
 
 
 SOAK_FAULT_DURATIONS_S = {
@@ -72,19 +72,19 @@
     SoakFault.HOST_HANGS: 2.5,
     SoakFault.HOST_FREEZES_AND_BEGINS: 2.0,
     SoakFault.HOST_FREEZES_AND_RESETS: 2.0,
-    SoakFault.HOST_VANISHES: 2.5,
-    SoakFault.HOST_HALF_FREEZE: 1.5,
-    SoakFault.CROWD: 3.0,
-    SoakFault.BUSY_MACHINE: 3.0,
+    SoakFault.HOST_BECOMES_UNREACHABLE: 2.5,
+    SoakFault.HOST_HALF_OF_ALL_FREEZE: 1.5,
+    SoakFault.CONNECTION_FLOOD: 3.0,
+    SoakFault.CPU_CONTENTION: 3.0,
 }
-QUIET_CHANCE = 0.3
-QUIET_SHARE = 0.4
+LATE_START_CHANCE = 0.3
+LATE_START_SHARE = 0.4
 """Of a soak's time, before the first trouble."""
-AFTERMATH_S = 3.0
-WAVE_S = (1.5, 3.5)
+FAULT_FREE_END_S = 3.0
+WAVE_INTERVAL_S = (1.5, 3.5)
 """From one wave of troubles to the next."""
 SAME_TARGET_CHANCE = 0.7
-RESTARTS_CHANCE = 0.5
+RESTART_IN_EACH_WAVE_CHANCE = 0.5
 """Of seeds in which each wave restarts a dispatcher, whatever else befalls it."""
 RESTART_FAULTS = (EnvironmentFault.SIGTERM, EnvironmentFault.SIGTERM, SoakFault.SIGNAL_SERIES)
 
@@ -95,11 +95,11 @@
 
     at: float
     duration_s: float
-    fault: Fault
+    fault: InjectedFault
     target: int
 
 
-def is_host_fault(fault: Fault) -> bool:
+def is_host_fault(fault: InjectedFault) -> bool:
     """Whether the fault's target is a host."""
     return fault.name.startswith("HOST")
 
@@ -107,13 +107,13 @@
 def draw_soak(seed: int, duration_s: float, dispatchers: int, hosts: int) -> list[SoakEvent]:
     """Waves of two or three troubles that overlap, mostly at the same dispatcher."""
     rng = random.Random(f"soak {seed}")
-    faults: list[Fault] = [*EnvironmentFault, *SoakFault]
+    faults: list[InjectedFault] = [*EnvironmentFault, *SoakFault]
     rng.shuffle(faults)
     queue = list(faults)
-    at = duration_s * QUIET_SHARE if rng.random() < QUIET_CHANCE else 0.5
+    at = duration_s * LATE_START_SHARE if rng.random() < LATE_START_CHANCE else 0.5
     events: list[SoakEvent] = []
-    restarts = rng.random() < RESTARTS_CHANCE
-    while at < duration_s - AFTERMATH_S:
+    restarts = rng.random() < RESTART_IN_EACH_WAVE_CHANCE
+    while at < duration_s - FAULT_FREE_END_S:
         dispatcher = rng.randrange(dispatchers)
         if restarts:
             fault = rng.choice(RESTART_FAULTS)
@@ -126,11 +126,11 @@
             else:
                 target = dispatcher if rng.random() < SAME_TARGET_CHANCE else rng.randrange(dispatchers)
             events.append(SoakEvent(at + rng.random() * 0.6, fault_duration_s(fault), fault, target))
-        at += rng.uniform(*WAVE_S)
+        at += rng.uniform(*WAVE_INTERVAL_S)
     return events
 
 
-def fault_duration_s(fault: Fault) -> float:
+def fault_duration_s(fault: InjectedFault) -> float:
     """For how long the fault is in force, in seconds."""
     if isinstance(fault, SoakFault):
         return SOAK_FAULT_DURATIONS_S.get(fault, DEFAULT_FAULT_DURATION_S)
--- a/violetstack/rehearsal/fleet/socket_audit.py
+++ b/violetstack/rehearsal/fleet/socket_audit.py
@@ -89,7 +89,7 @@
         paused_until: When its dispatcher's process, which was stopped under it, went on.
         excused: Why no answer is owed; empty otherwise.
         reads_slowly: Its client takes an answer later than it comes.
-        pipelined_after: The request whose answer comes first on the connection, as this one was written behind it.
+        pipelined_after: The request on the same connection whose answer comes before this one's.
     """
 
     id: str
@@ -390,7 +390,7 @@
             return "not idempotent"
         after_s = repeat.arrived_at - first.arrived_at
         if after_s > request_class.deduplication_window_ms / 1000.0 + self._tolerance_s:
-            return f"{after_s:.3f} s later, outside of the window of {request_class.deduplication_window_ms:g} ms"
+            return f"{after_s:.3f} s later, beyond the window of {request_class.deduplication_window_ms:g} ms"
         if request_class.deduplication_scope is DeduplicationScope.ZONE and repeat.zone != first.zone:
             return f"in zone {repeat.zone}, not {first.zone}"
         if request_class.deduplication_scope is DeduplicationScope.CELL and repeat.cell != first.cell:
