--- a/tests/test_bad_hosts.py
+++ b/tests/test_bad_hosts.py
@@ -12,7 +12,7 @@
 from violetstack.net.upstream import response_reader
 from violetstack.protocol.headers import parse_load_report
 from violetstack.rehearsal.clients import ask_chat, ask_platform, chat_body, chat_headers
-from violetstack.rehearsal.hosts import SPOILT, SPOILT_LATER, Act
+from violetstack.rehearsal.hosts import MALFORMED_RESPONSES, MALFORMED_STREAMS, Act
 from violetstack.rehearsal.stage import Stage
 
 
@@ -21,7 +21,7 @@
     monkeypatch.setattr(response_reader, "PARTIAL_TIMEOUT_S", 0.05)
 
 
-@pytest.mark.parametrize("act", SPOILT.values(), ids=SPOILT)
+@pytest.mark.parametrize("act", MALFORMED_RESPONSES.values(), ids=MALFORMED_RESPONSES)
 def test_a_malformed_response_before_the_first_event_may_have_run(act: Act) -> None:
     prefill_host, decode_host = pair(act, act, act)
 
@@ -37,7 +37,7 @@
     play(prefill_host, decode_host, story=story)
 
 
-@pytest.mark.parametrize("act", SPOILT_LATER.values(), ids=SPOILT_LATER)
+@pytest.mark.parametrize("act", MALFORMED_STREAMS.values(), ids=MALFORMED_STREAMS)
 def test_a_stream_that_breaks_later_ends_without_the_last_chunk(act: Act) -> None:
     """The break was detected but reported only when more bytes arrived, up to 14 s later."""
     prefill_host, decode_host = pair(act, act)
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -20,7 +20,17 @@
     chat_headers,
     connect,
 )
-from violetstack.rehearsal.hosts import CUT, DECLINE, ERROR, RESET, SILENT, TOO_MANY, Act, ModelHost, what
+from violetstack.rehearsal.hosts import (
+    CUT,
+    DECLINE,
+    ERROR,
+    RESET,
+    SILENT,
+    TOO_MANY,
+    Act,
+    ModelHost,
+    messages_digest,
+)
 from violetstack.rehearsal.stage import Stage, stage
 
 ORDER = "giro-orden"
@@ -342,7 +352,7 @@
             assert mine == theirs
             assert set(mine) == {"served", "cut", "refused", "failed"}
             assert writer.runs == other.runs
-            orders = [what(chat_body("", text=f"text {n}")) for n in range(1, 12, 2)]
+            orders = [messages_digest(chat_body("", text=f"text {n}")) for n in range(1, 12, 2)]
             assert max(writer.runs[name] for name in orders) == 1
 
     trio.run(main)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -16,7 +16,7 @@
 from violetstack.net.downstream.response_handle import ResponseHandle
 from violetstack.policy_api import AttemptStatus, EndpointState, UpdateScope
 from violetstack.rehearsal.clients import ask_chat, ask_platform, chat_body, chat_headers
-from violetstack.rehearsal.hosts import CUT, DECLINE, ERROR, SILENT, SPOILT, SPOILT_LATER
+from violetstack.rehearsal.hosts import CUT, DECLINE, ERROR, MALFORMED_RESPONSES, MALFORMED_STREAMS, SILENT
 from violetstack.rehearsal.stage import Stage
 
 
@@ -89,7 +89,7 @@
 
 def test_after_failures_the_counters_match_the_connections_open_at_hosts() -> None:
     """After mixed faults the counts of attempts, reservations and connections must match the actual ones."""
-    acts = [*SPOILT.values(), *SPOILT_LATER.values(), CUT, ERROR, DECLINE, SILENT]
+    acts = [*MALFORMED_RESPONSES.values(), *MALFORMED_STREAMS.values(), CUT, ERROR, DECLINE, SILENT]
     prefill_host, decode_host = pair(*acts, reads=(SILENT, ERROR, DECLINE))
 
     async def story(on: Stage) -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -199,10 +199,10 @@
             await store_state(running)
             silent = SilentDiscovery()
             await running.nursery.start(silent.serve)
-            node_config = {**running.told, "known": {"version": 0, "full": True, "servers": []}}
+            node_config = {**running.node_config, "known": {"version": 0, "full": True, "servers": []}}
             node_config |= {"discovery": silent.address, "mgmt": ""}
             running.daemon.nursery.cancel_scope.cancel()
-            daemon = Daemon(Config(msgspec.convert(node_config, NodeConfig), running.chat_file))
+            daemon = Daemon(Config(msgspec.convert(node_config, NodeConfig), running.operator_config))
             serving = await running.nursery.start(daemon.serve)
             await serve_from_stored_state(replace(running, daemon=daemon, platform=serving.platform))
 
--- a/violetstack/rehearsal/__init__.py
+++ b/violetstack/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted peers for tests and rehearsals: they act out stories, one request at a time, without load."""
+"""Scripted peers for tests and rehearsals: each test plays a few requests against them, without load."""
--- a/violetstack/rehearsal/authority.py
+++ b/violetstack/rehearsal/authority.py
@@ -1,4 +1,4 @@
-"""A stand-in ACME authority, written from RFC 8555: accounts, orders, http-01 and certificates."""
+"""A scripted ACME server after RFC 8555: accounts, orders, http-01 challenges and certificates."""
 
 from __future__ import annotations
 
@@ -27,6 +27,8 @@
 
 
 class Problem(Exception):
+    """An error response of the ACME server: a problem document with this status."""
+
     def __init__(self, status: int, kind: str, detail: str) -> None:
         super().__init__(detail)
         self.status = status
@@ -35,13 +37,21 @@
 
 
 class Authority(Peer):
-    """`challenge_at` stands for every domain's port 80; `days` scripts what certificates have left."""
+    """An ACME server with a root certificate of its own.
+
+    Attributes:
+        challenge_at: The address that takes the place of port 80 of every domain.
+        days: The remaining days of the next certificates; 90 for all after these.
+        refuses: Whether new orders are rejected.
+        refused: How many orders were rejected.
+        issued: The certificates, oldest first.
+    """
 
     def __init__(self, *days: float) -> None:
         super().__init__()
         self.challenge_at = ""
         self.days = deque(days)
-        self.refuses = False  # every new order, from now on
+        self.refuses = False
         self.refused = 0
         self.issued: list[x509.Certificate] = []
         self._nonces: set[str] = set()
@@ -68,9 +78,9 @@
     async def handle(self, inbound: HttpRequest, connection: PeerConnection) -> None:
         path = inbound.path
         if path == "/directory":
-            names = {"newNonce": "/nonce", "newAccount": "/account", "newOrder": "/order"}
-            told = {name: self._url(at) for name, at in names.items()}
-            await connection.answer(200, JSON, orjson.dumps(told))
+            paths = {"newNonce": "/nonce", "newAccount": "/account", "newOrder": "/order"}
+            directory = {name: self._url(at) for name, at in paths.items()}
+            await connection.answer(200, JSON, orjson.dumps(directory))
         elif path == "/nonce":
             await connection.answer(200, [self._nonce(), ("Cache-Control", "no-store")])
         else:
@@ -85,15 +95,15 @@
 
     async def _signed(self, path: str, raw: bytes) -> tuple[int, Headers, bytes]:
         signed = JWS.json_loads(raw)
-        told = signed.signature.combined
-        nonce = b64encode(told.nonce).decode() if told.nonce else ""
+        header = signed.signature.combined
+        nonce = b64encode(header.nonce).decode() if header.nonce else ""
         if nonce not in self._nonces:
-            raise Problem(400, "badNonce", "the nonce is not known")
+            raise Problem(400, "badNonce", "the nonce is unknown or was used before")
         self._nonces.discard(nonce)
-        if told.url != self._url(path):
-            raise Problem(401, "unauthorized", "the signed url is another one")
-        account = self._accounts.get(told.kid or "")
-        key = told.jwk if path == "/account" else account
+        if header.url != self._url(path):
+            raise Problem(401, "unauthorized", "the signed URL is not that of the request")
+        account = self._accounts.get(header.kid or "")
+        key = header.jwk if path == "/account" else account
         if key is None or not signed.verify(key):
             raise Problem(403, "unauthorized", "the signature does not verify")
         if path == "/account":
@@ -113,7 +123,7 @@
                 return self._finalize(name, payload)
             case "certificate":
                 return 200, [("Content-Type", "application/pem-certificate-chain")], self._chains[name]
-        raise Problem(404, "malformed", "there is nothing here")
+        raise Problem(404, "malformed", "there is no such resource")
 
     def _account(self, key: JWK) -> tuple[int, Headers, bytes]:
         url = self._url("/accounts/" + b64encode(key.thumbprint()).decode())
@@ -124,7 +134,7 @@
     def _new_order(self, payload: dict[str, Any]) -> tuple[int, Headers, bytes]:
         if self.refuses:
             self.refused += 1
-            raise Problem(429, "rateLimited", "no more orders")
+            raise Problem(429, "rateLimited", "new orders are rejected")
         name = secrets.token_hex(8)
         urls = []
         for identifier in payload["identifiers"]:
@@ -156,9 +166,9 @@
             target = f"/.well-known/acme-challenge/{challenge['token']}"
             await call.send("GET", target, [("X-For", domain)])
             answer = await call.receive()
-        good = answer.status == 200 and answer.body.decode().strip() == f"{challenge['token']}.{thumbprint}"
-        authorization["status"] = challenge["status"] = "valid" if good else "invalid"
-        if not good:
+        valid = answer.status == 200 and answer.body.decode().strip() == f"{challenge['token']}.{thumbprint}"
+        authorization["status"] = challenge["status"] = "valid" if valid else "invalid"
+        if not valid:
             kind = "urn:ietf:params:acme:error:unauthorized"
             challenge["error"] = {"type": kind, "detail": "the key authorization does not match"}
         up = ("Link", f'<{self._url(f"/authorization/{name}")}>;rel="up"')
@@ -168,12 +178,12 @@
         order = self._orders[name]
         names = [url.rpartition("/")[2] for url in order["authorizations"]]
         if any(self._authorizations[n]["status"] != "valid" for n in names):
-            raise Problem(403, "orderNotReady", "an authorization is missing")
+            raise Problem(403, "orderNotReady", "an authorization is not valid yet")
         request = x509.load_der_x509_csr(b64decode(payload["csr"]))
-        asked = request.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
-        domains = asked.get_values_for_type(x509.DNSName)
+        requested = request.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
+        domains = requested.get_values_for_type(x509.DNSName)
         if sorted(domains) != sorted(i["value"] for i in order["identifiers"]):
-            raise Problem(400, "badCSR", "the names are not the order's")
+            raise Problem(400, "badCSR", "the names of the certificate request are not those of the order")
         days = self.days.popleft() if self.days else DAYS
         public: Any = request.public_key()
         certificate = self._sign(x509.Name([]), public, domains, days)
@@ -202,5 +212,6 @@
         return builder.sign(self.key, hashes.SHA256())
 
     async def until_issued(self, count: int) -> None:
+        """Wait until that many certificates have been issued in all."""
         while len(self.issued) < count:
             await trio.sleep(0.01)
--- a/violetstack/rehearsal/clients.py
+++ b/violetstack/rehearsal/clients.py
@@ -1,4 +1,4 @@
-"""Scripted clients of both faces. They send one request on a connection of its own and tell what came."""
+"""Scripted clients of both front ends. Each request is sent on a connection of its own."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 @dataclass
 class Answer:
-    """What a client saw of one answer."""
+    """What a client received in response to one request."""
 
-    status: int = 0  # 0: the connection ended without one
+    status: int = 0  # 0: the connection ended without a response
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
     whole: bool = False
@@ -40,15 +40,15 @@
 
     @property
     def text(self) -> str:
-        """The answer's words, streamed or whole."""
+        """The content of the answer, streamed or in one body."""
         if self.headers.get("content-type") == "application/json":
             return "".join(c["message"]["content"] or "" for c in self.json.get("choices", ()))
-        told = (orjson.loads(event) for event in self.events if event and event != b"[DONE]")
-        return "".join(c["delta"].get("content") or "" for row in told for c in row.get("choices", ()))
+        chunks = (orjson.loads(event) for event in self.events if event and event != b"[DONE]")
+        return "".join(c["delta"].get("content") or "" for row in chunks for c in row.get("choices", ()))
 
     @property
     def outcome(self) -> str:
-        """In the core's words, the same on both faces."""
+        """The outcome in the terms of the core, the same on both front ends."""
         if self.status in (429, 503) and "retry-after" in self.headers:
             return "refused"
         if self.status != 200:
@@ -59,7 +59,7 @@
 
 
 class Call:
-    """One request on a connection that the caller may also leave in the middle."""
+    """One request on a connection that the caller may also close before the response is complete."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
@@ -73,15 +73,15 @@
         await self.stream.send_all(b"".join(bytes(p) for p in self.http.request(method, target, rows, body)))
 
     async def receive(self, *, events: int | None = None) -> Answer:
-        """Until the answer's end, the connection's, or so many events."""
+        """Receive up to the end of the response or of the connection, or up to a number of events."""
         answer = self.answer
         while events is None or len(answer.events) < events:
             try:
                 self.http.check()
-                told = self.http.feed(bytes(await self.stream.receive_some(64 * 1024)))
+                received = self.http.feed(bytes(await self.stream.receive_some(64 * 1024)))
             except (InvalidResponseError, trio.BrokenResourceError):
                 return answer
-            for event in told:
+            for event in received:
                 if isinstance(event, ResponseHead):
                     answer.status = event.status
                     answer.headers = event.headers
@@ -108,23 +108,23 @@
 
 
 async def raw(at: Address, sent: bytes) -> bytes:
-    """Sends bytes that need be no request, and hears what comes until the other side ends."""
-    told = b""
+    """Send bytes, which need not be a valid request; return all that arrives until the connection ends."""
+    received = b""
     async with await trio.open_tcp_stream(*at) as stream:
         try:
             await stream.send_all(sent)
             while data := await stream.receive_some(64 * 1024):
-                told += data
+                received += data
         except trio.BrokenResourceError:
             pass
-    return told
+    return received
 
 
 def platform_headers(request_id: str, kind: str, **more: str) -> list[tuple[str, str]]:
-    told = {"Req-Id": request_id, "Req-Kind": kind, "Req-Owner": "acme", "Req-Key": "c1"}
-    told |= {"Req-Deadline": "5000m", "Req-Extra": "prompt_len=40,prefix_len=0,max_out=50"}
-    told |= {name.replace("_", "-"): value for name, value in more.items()}
-    return [(name, value) for name, value in told.items() if value]
+    headers = {"Req-Id": request_id, "Req-Kind": kind, "Req-Owner": "acme", "Req-Key": "c1"}
+    headers |= {"Req-Deadline": "5000m", "Req-Extra": "prompt_len=40,prefix_len=0,max_out=50"}
+    headers |= {name.replace("_", "-"): value for name, value in more.items()}
+    return [(name, value) for name, value in headers.items() if value]
 
 
 async def ask_platform(at: Address, request_id: str, kind: str, text: str = "hi", **more: str) -> Answer:
@@ -140,9 +140,9 @@
 
 
 def chat_headers(order: str = "", key: str = "kiosk-key", **more: str) -> list[tuple[str, str]]:
-    told = {"Authorization": f"Bearer {key}", "Content-Type": "application/json", "Idempotency-Key": order}
-    told |= {name.replace("_", "-"): value for name, value in more.items()}
-    return [(name, value) for name, value in told.items() if value]
+    headers = {"Authorization": f"Bearer {key}", "Content-Type": "application/json", "Idempotency-Key": order}
+    headers |= {name.replace("_", "-"): value for name, value in more.items()}
+    return [(name, value) for name, value in headers.items() if value]
 
 
 async def ask_chat(at: Address, body: bytes, headers: list[tuple[str, str]] | None = None) -> Answer:
--- a/violetstack/rehearsal/demo.py
+++ b/violetstack/rehearsal/demo.py
@@ -1,7 +1,7 @@
-"""`violetstack demo`: a dispatcher with stand-in hosts in one process, and one streamed question.
+"""`violetstack demo`: a dispatcher with scripted hosts in one process, and one streamed request.
 
-The operator's file is embedded, and read and checked like any other: two pools of readers and writers, a
-route for each class, a ledger for orders.
+The operator's file is embedded, and is read and checked like any other: two pools of prefill and decode
+hosts, a route for each class, a ledger of idempotency keys for orders.
 """
 
 from __future__ import annotations
@@ -44,21 +44,21 @@
 """
 
 
-class _Seen:
-    """Keeps the last request's line, for the demo to tell of it."""
+class _RequestLog:
+    """Keeps the log line of the last request, from which the demo prints how it was served."""
 
     def __init__(self) -> None:
         self.line: dict[str, Any] | None = None
-        self.came = trio.Event()
+        self.received = trio.Event()
 
     def __call__(self, line: dict[str, Any]) -> None:
         if line["event"] == "request":
             self.line = line
-            self.came.set()
+            self.received.set()
 
 
 def run(port: int, once: bool) -> int:
-    """0 if the question was answered."""
+    """Run the demo; return 0 if the request was served, 1 if not, 2 if a port could not be bound."""
     with tempfile.TemporaryDirectory() as folder:
         code = 2
         try:
@@ -70,42 +70,42 @@
 
 async def _run(port: int, once: bool, folder: Path) -> int:
     hosts = [ModelHost(f"{kind}-{n}", kind, cell=n) for kind in ("prefill", "decode") for n in (0, 1)]
-    log.quiet, seen = True, _Seen()
-    log.observers.append(seen)
+    log.quiet, request_log = True, _RequestLog()
+    log.observers.append(request_log)
     try:
         async with trio.open_nursery() as nursery:
             for host in hosts:
                 await nursery.start(host.serve)
             discovery = Discovery(*(host.row() for host in hosts))
             await nursery.start(discovery.serve)
-            told = {"port": port, "discovery": discovery.address, "folder": folder, "key": KEY}
+            values = {"port": port, "discovery": discovery.address, "folder": folder, "key": KEY}
             file = folder / "operator.violet"
             file.touch(mode=0o600)
-            file.write_text(FILE % told)
+            file.write_text(FILE % values)
             daemon = Daemon(config(file))
             serving = await nursery.start(daemon.serve)
             while len(daemon.core.endpoints) < len(hosts):
                 await trio.sleep(0.01)
-            good = await _ask(serving.chat, seen)
+            served = await _ask(serving.chat, request_log)
             if not once:
                 await _stay(serving.chat)
             nursery.cancel_scope.cancel()
     finally:
-        log.observers.remove(seen)
-    return 0 if good else 1
+        log.observers.remove(request_log)
+    return 0 if served else 1
 
 
 def config(file: Path) -> Config:
     return load("", str(file))
 
 
-async def _ask(at: Address, seen: _Seen) -> bool:
-    click.echo(f"the chat front listens on http://{at[0]}:{at[1]}; asking it, streamed:\n")
+async def _ask(at: Address, request_log: _RequestLog) -> bool:
+    click.echo(f"the chat front listens on http://{at[0]}:{at[1]}; response to a streamed request:\n")
     answer = await ask_chat(at, chat_body("giro-consulta", "How much is the fee?"), chat_headers(key=KEY))
     for event in answer.events:
         click.echo(f"    data: {event.decode()}")
-    await seen.came.wait()
-    line = seen.line or {}
+    await request_log.received.wait()
+    line = request_log.line or {}
     hosts = ", ".join(f"{server} ({status}, {ms} ms)" for server, status, ms, *_ in line.get("attempts", ()))
     click.echo(f"\n{line.get('answer')} by route {line.get('route')}, pool {line.get('pool')}: {hosts}")
     return answer.outcome == "served"
@@ -114,7 +114,7 @@
 async def _stay(at: Address) -> None:
     url = f"http://{at[0]}:{at[1]}/v1/chat/completions"
     click.echo(
-        "\nIt stays until Ctrl-C. An order goes by another route, and sent twice runs once:\n\n"
+        "\nThe demo runs until Ctrl-C. Orders take another route, and an order sent twice runs once:\n\n"
         f"    curl -N {url} -H 'Authorization: Bearer {KEY}' \\\n"
         '      -d \'{"model":"giro-consulta","stream":true,'
         '"messages":[{"role":"user","content":"hello"}]}\'\n\n'
--- a/violetstack/rehearsal/discovery.py
+++ b/violetstack/rehearsal/discovery.py
@@ -1,4 +1,4 @@
-"""A scripted discovery: a list, and a watch that tells its changes."""
+"""A scripted discovery service: an endpoint list and a watch that reports its changes."""
 
 from __future__ import annotations
 
@@ -12,24 +12,27 @@
 
 
 class Discovery(Peer):
+    """Discovery with the given entries as the first version of its list."""
+
     def __init__(self, *rows: dict[str, Any]) -> None:
         super().__init__()
         self.version = 1
         self.changes: list[tuple[int, list[dict[str, Any]]]] = [(1, list(rows))]
-        self.asked: list[str] = []  # the target of each watch
-        self._news = trio.Event()
+        self.asked: list[str] = []  # the target of each request
+        self._changed = trio.Event()
 
     def tell(self, *rows: dict[str, Any]) -> None:
+        """Publish changed entries as the next version of the list."""
         self.version += 1
         self.changes.append((self.version, list(rows)))
-        self._news.set()
-        self._news = trio.Event()
+        self._changed.set()
+        self._changed = trio.Event()
 
     async def answer_complete_list(self, connection: PeerConnection) -> None:
-        """Answers a request that is no watch."""
-        told = {row["id"]: row for _, rows in self.changes for row in rows}
-        whole = {"version": self.version, "full": True, "servers": list(told.values())}
-        await connection.answer(200, [("Content-Type", "application/json")], orjson.dumps(whole))
+        """Respond with the complete current list, as to a request that is not a watch."""
+        entries = {row["id"]: row for _, rows in self.changes for row in rows}
+        message = {"version": self.version, "full": True, "servers": list(entries.values())}
+        await connection.answer(200, [("Content-Type", "application/json")], orjson.dumps(message))
 
     async def handle(self, inbound: HttpRequest, connection: PeerConnection) -> None:
         self.asked.append(inbound.target)
@@ -46,4 +49,4 @@
                     line = {"version": version, "full": version == 1, "servers": rows}
                     await connection.data(orjson.dumps(line) + b"\n")
                     index = version
-            await self._news.wait()
+            await self._changed.wait()
--- a/violetstack/rehearsal/hosts.py
+++ b/violetstack/rehearsal/hosts.py
@@ -1,4 +1,4 @@
-"""Scripted model hosts: the platform's readers and writers, and hosts that speak plain OpenAI."""
+"""Scripted model hosts: the platform's prefill and decode hosts, and hosts with the plain OpenAI API."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 @dataclass
 class Act:
-    """What a host does with one request. The default serves it."""
+    """How a host responds to one request. The default serves it."""
 
     status: int = 200
     headers: Headers = field(default_factory=list)
-    events: int = 3  # of the answer, before its end or the break
-    breaks: bool = False  # after so many events; with none, before the head
-    error_event: bool = False  # in place of the end: how a plain host may tell of a break
-    silent: bool = False  # no answer until the other side closes
-    pause: trio.Event | None = None  # awaited after the events and before the end or the break
-    before: trio.Event | None = None  # awaited before the answer begins
-    report: bytes = b""  # the load report at a stream's end
-    raw: bytes = b""  # sent in place of all that would follow so many events; the connection stays open
-    ahead: bytes = b""  # sent before the answer's head
-    behind: bytes = b""  # sent right after the answer's end
+    events: int = 3  # events of the stream that are sent before its end or break
+    breaks: bool = False  # the connection breaks after `events`; before the response head if that is 0
+    error_event: bool = False  # an error event ends the stream, as a plain OpenAI host may report a failure
+    silent: bool = False  # no response until the dispatcher closes the connection
+    pause: trio.Event | None = None  # awaited after the events, before the end or the break
+    before: trio.Event | None = None  # awaited before the response begins
+    report: bytes = b""  # the load report at the end of the stream
+    raw: bytes = b""  # sent after `events` in place of the rest; the connection stays open
+    ahead: bytes = b""  # sent before the response head
+    behind: bytes = b""  # sent right after the end of the response
 
 
 SERVE = Act()
@@ -45,8 +45,8 @@
 
 
 EVENT = b'data: {"choices":[]}\n\n'
-FOREVER = b"%x\r\n" % (3 * 2**30) + b"data: x" * 60_000  # a chunk said to hold 3 GB
-SPOILT = {
+FOREVER = b"%x\r\n" % (3 * 2**30) + b"data: x" * 60_000  # a chunk that declares 3 GB
+MALFORMED_RESPONSES = {
     "noise": Act(events=0, raw=b"\x16\x03\x01 what is this\r\n\r\n"),
     "noise without an end": Act(events=0, raw=b"x" * 100),
     "bad head": Act(events=0, raw=b"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n"),
@@ -54,7 +54,7 @@
     "head without events": Act(events=0, raw=b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
     "no event": Act(events=0, raw=b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
 }
-SPOILT_LATER = {
+MALFORMED_STREAMS = {
     "bad size": Act(events=2, raw=b"zz\r\n" + EVENT + b"\r\n"),
     "size too small": Act(events=2, raw=b"5\r\n" + EVENT + b"\r\n"),
     "size too large": Act(events=2, raw=b"%x\r\n" % (len(EVENT) + 9) + EVENT + b"\r\n"),
@@ -63,20 +63,20 @@
 }
 
 
-def what(body: memoryview | bytes) -> str:
-    """Names an order by its messages, whatever else the body holds."""
-    told = orjson.loads(body)
-    return sha256(orjson.dumps(told.get("messages"))).hexdigest()[:12]
+def messages_digest(body: memoryview | bytes) -> str:
+    """Return a digest of a request's messages; the other fields of the body make no difference."""
+    request = orjson.loads(body)
+    return sha256(orjson.dumps(request.get("messages"))).hexdigest()[:12]
 
 
-def words(body: memoryview | bytes, count: int) -> list[str]:
-    """The same prompt gets the same answer, whoever gives it."""
-    name = what(body)
-    return [f"{name[n % 12]}{n} " for n in range(count)]
+def answer_words(body: memoryview | bytes, count: int) -> list[str]:
+    """Return the words of an answer; each host gives the same answer to the same prompt."""
+    digest = messages_digest(body)
+    return [f"{digest[n % 12]}{n} " for n in range(count)]
 
 
 class ModelHost(Peer):
-    """Acts by its script, one entry a request, and serves once the script is used up."""
+    """A host that takes one entry of its script for each request and serves normally after the last one."""
 
     def __init__(self, name: str, kind: str, *acts: Act, cell: int = 0) -> None:
         super().__init__()
@@ -84,12 +84,12 @@
         self.kind = kind
         self.cell = cell
         self.acts = deque(acts)
-        self.begun: list[str] = []  # ids (or names, on a plain host) of requests that arrived whole
-        self.runs: Counter[str] = Counter()  # answers begun, by what was asked
+        self.begun: list[str] = []  # ids of completely received requests; digests on a plain host
+        self.runs: Counter[str] = Counter()  # answers begun, by the digest of the messages
         self.bodies: list[bytes] = []
         self.calls: list[tuple[str, str]] = []
         self.changed = trio.Condition()
-        self.on_call: Callable[[str, str], int] | None = None  # decides the status of /state calls
+        self.on_call: Callable[[str, str], int] | None = None  # the status of a /state response
 
     async def note(self) -> None:
         async with self.changed:
@@ -108,7 +108,7 @@
             status = self.on_call(inbound.method, request_id) if self.on_call is not None else None
             await connection.answer(status or (200 if inbound.method == "POST" else 204), [])
             return
-        self.begun.append(inbound.headers.get("req-id", what(inbound.body)))
+        self.begun.append(inbound.headers.get("req-id", messages_digest(inbound.body)))
         self.bodies.append(bytes(inbound.body))
         await self.note()
         act = self.acts.popleft() if self.acts else SERVE
@@ -133,14 +133,14 @@
             await connection.raw(act.behind)
             return
         if self.kind != "prefill":
-            self.runs[what(inbound.body)] += 1
+            self.runs[messages_digest(inbound.body)] += 1
         if act.breaks and not act.events:
             raise Break
         await self.stream(act, inbound.body, connection)
 
     async def stream(self, act: Act, body: memoryview, connection: PeerConnection) -> None:
         await connection.start(200, [*EVENTS, *act.headers])
-        for n, word in enumerate(words(body, act.events)):
+        for n, word in enumerate(answer_words(body, act.events)):
             last = not act.breaks and n == act.events - 1
             choice = {"index": 0, "delta": {"content": word}, "finish_reason": "stop" if last else None}
             await connection.data(b"data: " + orjson.dumps({"choices": [choice]}) + b"\n\n")
@@ -165,9 +165,9 @@
         await connection.raw(act.behind)
 
     def row(self, state: str = "active") -> dict[str, object]:
-        """Its entry in discovery's list."""
-        where = {"id": self.name, "addr": self.address, "zone": "z", "kind": self.kind}
-        return {**where, "cell": self.cell, "state": state, "weight": 1.0, "started_ms": 0}
+        """Return the host's entry in the endpoint list of discovery."""
+        identity = {"id": self.name, "addr": self.address, "zone": "z", "kind": self.kind}
+        return {**identity, "cell": self.cell, "state": state, "weight": 1.0, "started_ms": 0}
 
 
 JSON: Headers = [("Content-Type", "application/json")]
--- a/violetstack/rehearsal/peer.py
+++ b/violetstack/rehearsal/peer.py
@@ -1,4 +1,4 @@
-"""An HTTP peer on a loopback port: what a scripted server of any kind is made of."""
+"""An HTTP server on a loopback port, the base of all scripted servers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PeerConnection:
-    """One accepted connection, as a script sees it."""
+    """One accepted connection, with the calls by which a script responds."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
@@ -32,12 +32,12 @@
         await self._send(self.http.end())
 
     async def raw(self, data: bytes) -> None:
-        """Bytes that need be no HTTP."""
+        """Send bytes, which need not be valid HTTP."""
         if data:
             await self.stream.send_all(data)
 
     async def until_closed(self) -> None:
-        """Returns when the other side closes; what it still sends is dropped."""
+        """Wait until the other side closes; data that it still sends is discarded."""
         try:
             while await self.stream.receive_some(4096):
                 pass
@@ -46,11 +46,11 @@
 
 
 class Break(Exception):
-    """The script ends this connection now."""
+    """Raised by a script to close the connection at once."""
 
 
 class Peer:
-    """Serves until cancelled; `address` is known once it has started."""
+    """A server that runs until it is cancelled; `address` is set once it has started."""
 
     def __init__(self) -> None:
         self.address = ""
@@ -75,7 +75,7 @@
             await trio.serve_listeners(self._connection, self._sockets)
 
     def die(self) -> None:
-        """As a process that is killed: its connections break, and new ones are refused."""
+        """Behave like a killed process: connections break, and new ones are refused."""
         self._accepting.cancel()
         self.hang_up()
 
@@ -93,7 +93,7 @@
             except (Break, InvalidRequestError, trio.BrokenResourceError, trio.ClosedResourceError):
                 pass
             except h11.LocalProtocolError:
-                pass  # the other side is gone in the middle of an answer
+                pass  # the other side closed during a response
             finally:
                 self.connections.discard(scope)
                 with trio.CancelScope(shield=True):
--- a/violetstack/rehearsal/scenarios.py
+++ b/violetstack/rehearsal/scenarios.py
@@ -1,7 +1,7 @@
-"""`violetstack rehearse [STORY ...]`: plays stories with scripted peers and tells what came.
+"""`violetstack rehearse [STORY ...]`: plays scenarios with scripted peers and prints all checks.
 
-It exits with 1 if a story did not come out as it should. The dispatcher's own log lines go to standard
-output between the stories' lines; `--quiet` drops them.
+It exits with 1 if a check failed. The dispatcher's own log lines go to standard output between the lines of
+the scenarios; `--quiet` suppresses them.
 """
 
 from __future__ import annotations
@@ -24,100 +24,112 @@
     raw,
 )
 from violetstack.rehearsal.discovery import Discovery
-from violetstack.rehearsal.hosts import CUT, DECLINE, RESET, SERVE, SPOILT, SPOILT_LATER, Act, ModelHost
+from violetstack.rehearsal.hosts import (
+    CUT,
+    DECLINE,
+    MALFORMED_RESPONSES,
+    MALFORMED_STREAMS,
+    RESET,
+    SERVE,
+    Act,
+    ModelHost,
+)
 from violetstack.rehearsal.stage import Stage, stage
 
-LIMIT_S = 20.0
-Told = list[tuple[str, bool]]
-Story = Callable[[Stage, ModelHost, ModelHost], Awaitable[Told]]
+TIMEOUT_S = 20.0
+Checks = list[tuple[str, bool]]  # what was observed, and whether it was expected
+Story = Callable[[Stage, ModelHost, ModelHost], Awaitable[Checks]]
 
 
-def _saw(what: str, answer: Answer, outcome: str) -> tuple[str, bool]:
+def _check(what: str, answer: Answer, outcome: str) -> tuple[str, bool]:
     return f"{what}: {answer.outcome}, status {answer.status}", answer.outcome == outcome
 
 
-async def served(on: Stage, reader: ModelHost, writer: ModelHost) -> Told:
-    """A request is read, then written, on both faces."""
+async def served(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
+    """A request is prefilled and decoded on both front ends."""
     return [
-        _saw("platform", await ask_platform(on.platform, "s1", "consulta"), "served"),
-        _saw("chat", await ask_chat(on.chat, chat_body("giro-consulta")), "served"),
+        _check("platform", await ask_platform(on.platform, "s1", "consulta"), "served"),
+        _check("chat", await ask_chat(on.chat, chat_body("giro-consulta")), "served"),
     ]
 
 
-async def cut(on: Stage, reader: ModelHost, writer: ModelHost) -> Told:
-    """A stream breaks after its first event: once on the platform, once on chat."""
-    writer.acts.extend([CUT, CUT])
-    chat = [
-        _saw("platform", await ask_platform(on.platform, "c1", "consulta"), "cut"),
-        _saw("chat", answer := await ask_chat(on.chat, chat_body("giro-consulta")), "cut"),
+async def cut(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
+    """A stream breaks in the middle, on the platform front and on the chat front."""
+    decode_host.acts.extend([CUT, CUT])
+    checks = [
+        _check("platform", await ask_platform(on.platform, "c1", "consulta"), "cut"),
+        _check("chat", answer := await ask_chat(on.chat, chat_body("giro-consulta")), "cut"),
     ]
-    return [*chat, (f"the last event: {answer.events[-1].decode()}", b'"error"' in answer.events[-1])]
+    return [*checks, (f"the last event: {answer.events[-1].decode()}", b'"error"' in answer.events[-1])]
 
 
-async def refused(on: Stage, reader: ModelHost, writer: ModelHost) -> Told:
-    """The only writer turns everything away; what was read is released."""
-    writer.acts.extend([DECLINE] * 2)
-    told = [
-        _saw("platform", await ask_platform(on.platform, "r1", "orden"), "refused"),
-        _saw("chat", await ask_chat(on.chat, chat_body("giro-consulta")), "refused"),
+async def refused(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
+    """The only decode host declines every request; the prefilled state is released."""
+    decode_host.acts.extend([DECLINE] * 2)
+    checks = [
+        _check("platform", await ask_platform(on.platform, "r1", "orden"), "refused"),
+        _check("chat", await ask_chat(on.chat, chat_body("giro-consulta")), "refused"),
     ]
-    await reader.until(lambda: ("DELETE", "r1") in reader.calls + writer.calls)
-    return [*told, ("the state of r1 was released", True)]
+    await prefill_host.until(lambda: ("DELETE", "r1") in prefill_host.calls + decode_host.calls)
+    return [*checks, ("the state of r1 was released", True)]
 
 
-async def order(on: Stage, reader: ModelHost, writer: ModelHost) -> Told:
-    """An order is sent three times under two keys, then one that breaks is sent again."""
-    writer.acts.extend([SERVE, RESET])
-    told = []
+async def order(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
+    """An order is sent three times under two idempotency keys; then one that fails is sent again."""
+    decode_host.acts.extend([SERVE, RESET])
+    checks = []
     for key in ("o1", "o1", "o2"):
         answer = await ask_chat(on.chat, chat_body("giro-orden"), chat_headers(key))
-        told.append(_saw(f"key {key}", answer, "served"))
+        checks.append(_check(f"key {key}", answer, "served"))
     for key in ("o3", "o3", "o4"):
         answer = await ask_chat(on.chat, chat_body("giro-orden", text="more"), chat_headers(key))
-        told.append(_saw(f"key {key}", answer, "failed"))
-    runs = list(writer.runs.values())
-    return [*told, (f"runs of the two orders: {runs}", runs == [1, 1])]
+        checks.append(_check(f"key {key}", answer, "failed"))
+    runs = list(decode_host.runs.values())
+    return [*checks, (f"runs of the two orders: {runs}", runs == [1, 1])]
 
 
-async def drain(on: Stage, reader: ModelHost, writer: ModelHost) -> Told:
-    """The only writer drains: the next request is refused, not sent there."""
-    on.discovery.tell(writer.row(state="leaving"))
-    while writer.name not in on.daemon.core.draining:
+async def drain(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
+    """The only decode host drains: the next request is rejected rather than sent to it."""
+    on.discovery.tell(decode_host.row(state="leaving"))
+    while decode_host.name not in on.daemon.core.draining:
         await trio.sleep(0.001)
     answer = await ask_platform(on.platform, "d1", "consulta")
-    return [_saw("platform", answer, "refused"), ("nothing reached the writer", not writer.begun)]
+    return [
+        _check("platform", answer, "refused"),
+        ("no request reached the draining host", not decode_host.begun),
+    ]
 
 
-async def stop(on: Stage, reader: ModelHost, writer: ModelHost) -> Told:
-    """The dispatcher is told to stop in the middle of a stream."""
-    hold = trio.Event()
-    writer.acts.append(Act(pause=hold))
+async def stop(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
+    """The dispatcher shuts down while it forwards a stream."""
+    resume_stream = trio.Event()
+    decode_host.acts.append(Act(pause=resume_stream))
     call = await connect(on.chat)
     await call.send("POST", "/v1/chat/completions", chat_headers(), chat_body("giro-consulta"))
     await call.receive(events=1)
     on.daemon.stop.set()
-    late = await ask_platform(on.platform, "l1", "consulta")
-    hold.set()
+    during_shutdown = await ask_platform(on.platform, "l1", "consulta")
+    resume_stream.set()
     return [
-        _saw("a request that came after", late, "served"),
-        _saw("the stream under way", await call.receive(), "served"),
+        _check("a request sent after the shutdown began", during_shutdown, "served"),
+        _check("the stream in progress", await call.receive(), "served"),
     ]
 
 
-async def spoilt(on: Stage, reader: ModelHost, writer: ModelHost) -> Told:
-    """Answers that can't be read: before the first event, and in the middle of a stream."""
-    told = []
-    for outcome, acts in (("failed", SPOILT), ("cut", SPOILT_LATER)):
+async def spoilt(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
+    """Hosts send malformed responses: before the first event, and in the middle of a stream."""
+    checks = []
+    for outcome, acts in (("failed", MALFORMED_RESPONSES), ("cut", MALFORMED_STREAMS)):
         for n, (name, act) in enumerate(acts.items()):
-            writer.acts.append(act)
-            told.append(_saw(name, await ask_platform(on.platform, f"{outcome}{n}", "orden"), outcome))
-    return told
+            decode_host.acts.append(act)
+            checks.append(_check(name, await ask_platform(on.platform, f"{outcome}{n}", "orden"), outcome))
+    return checks
 
 
-async def rude(on: Stage, reader: ModelHost, writer: ModelHost) -> Told:
-    """Clients that send what can't be taken, or nothing: each gets an error or a close."""
+async def rude(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
+    """Clients send nothing or invalid requests: each gets an error response or its connection is closed."""
     head = b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
-    told = []
+    checks = []
     for name, sent in {
         "nothing": b"",
         "half a head": head,
@@ -126,24 +138,24 @@
         "60 MB": head + b"Content-Length: 60000000\r\n\r\n",
     }.items():
         since = trio.current_time()
-        answer = (await raw(on.platform, sent)).partition(b"\r\n")[0].decode() or "a close"
+        answer = (await raw(on.platform, sent)).partition(b"\r\n")[0].decode() or "connection closed"
         took = trio.current_time() - since
-        told.append((f"{name}: {answer} after {took:.1f} s", took < 3.0 and " 200 " not in answer))
-    return [*told, ("no host heard of it", not reader.begun)]
+        checks.append((f"{name}: {answer} after {took:.1f} s", took < 3.0 and " 200 " not in answer))
+    return [*checks, ("no host received a request", not prefill_host.begun)]
 
 
-async def reload(on: Stage, reader: ModelHost, writer: ModelHost) -> Told:
-    """The configuration names another discovery, which knows another writer."""
+async def reload(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
+    """A reload sets another discovery, whose list has another decode host."""
     other = ModelHost("other", "decode")
     discovery = Discovery()
     await on.nursery.start(other.serve)
-    discovery.tell(reader.row(), other.row())
+    discovery.tell(prefill_host.row(), other.row())
     await on.nursery.start(discovery.serve)
     on.daemon.reload(lambda: on.config(discovery=discovery.address))
-    while writer.name in on.daemon.core.endpoints:
+    while decode_host.name in on.daemon.core.endpoints:
         await trio.sleep(0.001)
     answer = await ask_platform(on.platform, "n1", "orden")
-    return [_saw("platform", answer, "served"), ("by the new writer", other.begun == ["n1"])]
+    return [_check("platform", answer, "served"), ("by the new decode host", other.begun == ["n1"])]
 
 
 STORIES: dict[str, Story] = {
@@ -151,22 +163,22 @@
 }
 
 
-async def play(story: Story) -> Told:
-    reader = ModelHost("reader", "prefill")
-    writer = ModelHost("writer", "decode")
-    with tempfile.TemporaryDirectory() as folder, trio.fail_after(LIMIT_S):
+async def play(story: Story) -> Checks:
+    prefill_host = ModelHost("reader", "prefill")
+    decode_host = ModelHost("writer", "decode")
+    with tempfile.TemporaryDirectory() as folder, trio.fail_after(TIMEOUT_S):
         chat: dict[str, Any] = {"ledger": {"file": str(Path(folder) / "orders.sqlite")}}
-        async with stage(reader, writer, chat=chat) as on:
-            return await story(on, reader, writer)
+        async with stage(prefill_host, decode_host, chat=chat) as on:
+            return await story(on, prefill_host, decode_host)
 
 
 def rehearse(stories: Sequence[str], quiet: bool) -> int:
-    """0 if each came out as it should, else 1."""
+    """Play the scenarios; return 0 if every check succeeded, else 1."""
     log.quiet = quiet
-    good = True
+    succeeded = True
     for name in stories:
         print(f"{name}: {STORIES[name].__doc__}", flush=True)
-        for line, as_it_should in trio.run(play, STORIES[name]):
-            good = good and as_it_should
-            print(f"  {'ok ' if as_it_should else 'NOT'} {line}", flush=True)
-    return 0 if good else 1
+        for line, expected in trio.run(play, STORIES[name]):
+            succeeded = succeeded and expected
+            print(f"  {'ok ' if expected else 'NOT'} {line}", flush=True)
+    return 0 if succeeded else 1
--- a/violetstack/rehearsal/stage.py
+++ b/violetstack/rehearsal/stage.py
@@ -1,4 +1,4 @@
-"""A whole dispatcher between scripted peers, all on loopback ports of this process."""
+"""A complete dispatcher and its scripted peers, all on loopback ports of this process."""
 
 from __future__ import annotations
 
@@ -64,20 +64,32 @@
 
 @dataclass
 class Stage:
+    """A running dispatcher, its scripted discovery and the addresses at which it listens.
+
+    Attributes:
+        nursery: Runs the peers and the dispatcher; more peers may be started in it.
+        node_config: The NODE_CONFIG object with which the dispatcher was started.
+        operator_config: The part of its configuration that comes from the operator's file.
+        plan: The routing plan compiled from the operator's file; None without a file.
+        admin: Where the admin API listens.
+    """
+
     daemon: Daemon
     discovery: Discovery
     platform: Address
     chat: Address
     challenge: Address | None
     nursery: trio.Nursery
-    told: dict[str, Any]
-    chat_file: OperatorConfig
+    node_config: dict[str, Any]
+    operator_config: OperatorConfig
     plan: RoutingPlan | None
     admin: Address
 
     def config(self, **changes: Any) -> Config:
-        """The configuration that it was started with, changed."""
-        return Config(msgspec.convert({**self.told, **changes}, NodeConfig), self.chat_file, self.plan)
+        """Return the configuration of the dispatcher, with changed keys of NODE_CONFIG."""
+        return Config(
+            msgspec.convert({**self.node_config, **changes}, NodeConfig), self.operator_config, self.plan
+        )
 
 
 @asynccontextmanager
@@ -90,11 +102,17 @@
     file: Path | None = None,
     folder: Path | None = None,
 ) -> AsyncIterator[Stage]:
-    """The daemon serves the admin API; `folder` is what this dispatcher's processes share, if they do.
-
-    `settings` and `chat` change the plain ones above; hosts of the kind `openai` are the operator's own.
+    """Run a dispatcher, which also serves the admin API, between these hosts and a scripted discovery.
 
-    `file` brings routes, pools, policies and levels; its other definitions do not count here.
+    Args:
+        hosts: The model hosts. Those of the kind `openai` are in the operator's configuration; discovery
+            lists the others.
+        settings: Keys of the settings object that replace those of SETTINGS.
+        chat: Keys of the operator's configuration that replace those of CHAT.
+        sockets: The limit of open sockets.
+        memory_mb: The limit of memory, in megabytes.
+        file: An operator's file with routes, pools, policies and levels; its other definitions are ignored.
+        folder: The directory that all processes of this dispatcher share; None if there is one process.
     """
     async with trio.open_nursery() as nursery:
         for host in hosts:
@@ -102,7 +120,7 @@
         rows = [host.row() for host in hosts if host.kind != "openai"]
         discovery = Discovery(*rows)
         await nursery.start(discovery.serve)
-        told = {
+        node_config = {
             "name": "n0",
             "listen": "127.0.0.1:0",
             "mgmt": "127.0.0.1:0",
@@ -112,11 +130,11 @@
             "settings": {**SETTINGS, **(settings or {})},
             "known": {"version": 1, "full": True, "servers": rows},
         }
-        plain = [{"id": h.name, "address": h.address} for h in hosts if h.kind == "openai"]
-        operator = msgspec.convert({**CHAT, "hosts": plain, **(chat or {})}, OperatorConfig)
+        openai_hosts = [{"id": h.name, "address": h.address} for h in hosts if h.kind == "openai"]
+        operator = msgspec.convert({**CHAT, "hosts": openai_hosts, **(chat or {})}, OperatorConfig)
         compiled = load(file)[0] if file is not None else None
         plan, levels = (compiled.plan, compiled.levels) if compiled is not None else (None, None)
-        config = Config(msgspec.convert(told, NodeConfig), operator, plan, load_shedding_plan=levels)
+        config = Config(msgspec.convert(node_config, NodeConfig), operator, plan, load_shedding_plan=levels)
         config.shared_directory = str(folder) if folder is not None else None
         daemon = Daemon(config)
         serving = await nursery.start(daemon.serve)
@@ -127,7 +145,7 @@
             serving.chat,
             serving.challenge,
             nursery,
-            told,
+            node_config,
             operator,
             plan,
             serving.admin or serving.platform,
