--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -109,7 +109,7 @@
 
     async def main() -> None:
         turns.longest = 0.0
-        await run(load(path), lambda: load(path, again=True))
+        await run(load(path), lambda: load(path, is_reload=True))
 
     trio.run(main, instruments=[turns])
     print(json.dumps({"longest_turn_ms": turns.longest * 1000.0}), flush=True)
--- a/violetstack/config.py
+++ b/violetstack/config.py
@@ -1,4 +1,4 @@
-"""The configuration of one dispatcher: the platform's NODE_CONFIG, the operator's file, or both."""
+"""The configuration of one dispatcher, from the platform's NODE_CONFIG, the operator's file, or both."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
     from violetstack.routing.generations import RoutingPlan
 
 Address = tuple[str, int]
-MIN_SOCKETS = 48  # fewer leave nothing for clients and hosts after the program's own
+MIN_SOCKETS = 48  # with fewer, the process's own descriptors leave none for clients and hosts
 OPENAI_KIND = "openai"
-OPENAI_MEMORY_TOKENS = 100_000.0  # of a host whose memory the operator's file does not state
+OPENAI_MEMORY_TOKENS = 100_000.0  # memory of the hosts if the operator's file does not state it for any
 DEFAULT_DRAIN_GRACE_MS = 250.0
 DEFAULT_IDLE_CLOSE_MS = 30_000.0
-MAX_SHOWN_VALUE = 40  # characters of a wrong value in an error
+MAX_SHOWN_VALUE = 40  # characters of an invalid value in an error
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text names the key and the reason."""
+    """The configuration is invalid; the text names the key and the reason."""
 
 
 class ConfigUnreadableError(ConfigError):
-    """The file can't be read at the moment, for a fault of this machine: it is to be read again."""
+    """The file can't be read because of a transient error of this machine; reading it should be retried."""
 
 
 TRANSIENT_READ_ERRORS = frozenset(
@@ -49,7 +49,7 @@
 
 
 class MachineLimits(msgspec.Struct):
-    """What this process may use; `sockets` are file descriptors."""
+    """The resources that this process may use; `sockets` is the number of file descriptors."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
@@ -57,7 +57,7 @@
 
 
 class NodeConfig(msgspec.Struct):
-    """The file that NODE_CONFIG names, with the platform's keys."""
+    """The content of the file that NODE_CONFIG names; the attributes are the platform's keys."""
 
     settings: SettingsMessage
     name: str = ""
@@ -73,9 +73,12 @@
 
 
 class Config:
-    """The configuration in force: `node` and `operator` as they were read, and what follows from both.
+    """The configuration in force: `node` and `operator` as they were read, and the values derived from both.
 
-    Raises ConfigError, OperatorConfigError or the settings' own error for values that can't be used.
+    Raises:
+        ConfigError: An address, limit, seed or lease setting is invalid.
+        OperatorConfigError: The operator's file refers to an undefined class, tenant or model.
+        MessageError: The settings are invalid.
     """
 
     def __init__(
@@ -86,7 +89,7 @@
         warnings: tuple[str, ...] = (),
         load_shedding_plan: LevelPlan | None = None,
     ) -> None:
-        """Checks what was read; `warnings` are those of the operator's file."""
+        """Checks the configuration; `warnings` are those about the operator's file."""
         self.node = node
         self.operator = operator
         self.routing_plan = routing_plan
@@ -106,53 +109,63 @@
         self.peer_listen = parse_optional_address("peer_listen", node.peer_listen)
         self.peers = [parse_address(peer) for peer in node.peers]
         self.peers_all = parse_optional_address("peers_all", node.peers_all)
-        # The clients' listener, where whoever started this process has bound it: its descriptor, and the
-        # socket once it has been checked.
+        # The listening socket for clients if the parent process has bound it: its descriptor, and the socket
+        # once the descriptor has been checked.
         self.inherited_fd: int | None = None
         self.inherited_listener: socket.socket | None = None
-        self.shared_directory: str | None = None  # of the processes of this dispatcher
+        self.shared_directory: str | None = None  # shared by the processes of this dispatcher
         if operator is not None and operator.duties is not None:
             self._check_leases(operator.duties)
 
     @property
     def drain_grace_ms(self) -> float:
-        """How soon after a drain was announced no request may be forwarded to the host any more."""
+        """Time after the announcement of a drain from which no request may be sent to the host."""
         rules = self.node.settings.rules
         grace_ms = rules.stop_sending_within if rules is not None else None
         return DEFAULT_DRAIN_GRACE_MS if grace_ms is None else grace_ms
 
     @property
     def idle_close_ms(self) -> float:
-        """How long an upstream connection may be idle before it is closed."""
+        """Time after which an idle upstream connection is closed."""
         limits = self.node.settings.limits
         idle_ms = limits.idle_close if limits is not None else None
         return idle_ms or DEFAULT_IDLE_CLOSE_MS
 
     def _check_leases(self, leases: LeaseConfig) -> None:
-        """A dispatcher that can't be reached can't vote, so each one has to be among the peers."""
+        """Checks that every dispatcher is among the peers, since one that can't be reached can't vote."""
         size = self.settings.dispatcher_count
-        named = len(self.peers)
-        if self.peer_listen is None or named != size or self.settings.dispatcher_index >= named:
-            raise ConfigError(f"duties: {named} peers are named for a fleet of {size}; each is to be there")
+        peer_count = len(self.peers)
+        if self.peer_listen is None or peer_count != size or self.settings.dispatcher_index >= peer_count:
+            raise ConfigError(
+                f"duties: peer_listen and an entry in peers for each of the {size} dispatchers are required; "
+                f"peers has {peer_count}"
+            )
         if leases.restart_permits >= size > 1:
-            raise ConfigError(f"duties: leave = {leases.restart_permits} bounds nothing in a fleet of {size}")
+            raise ConfigError(
+                f"duties: leave = {leases.restart_permits} is not below the number of dispatchers ({size})"
+            )
+
 
+def load(path: str, file: str | None = None, *, is_reload: bool = False) -> Config:
+    """Reads the file that NODE_CONFIG names (`path`), the operator's file (`file`), or both.
 
-def load(path: str, file: str | None = None, *, again: bool = False) -> Config:
-    """Reads the file that NODE_CONFIG names (`path`), the operator's file, or both. Raises ConfigError.
+    On a reload, `discovery` in the file takes precedence over the environment, which can't have changed since
+    the process started.
 
-    On a reload (`again`) the file's own discovery counts: the environment is that of the start.
+    Raises:
+        ConfigUnreadableError: The file that NODE_CONFIG names can't be read because of a transient error.
+        ConfigError: The configuration is invalid, or there is none.
     """
     node = read_node_config(path) if path else None
     if node is not None:
-        _apply_environment(node, again=again)
+        _apply_environment(node, is_reload=is_reload)
     try:
         if file is not None:
             config = _load_operator_file(file, node)
         elif node is not None:
             config = Config(node)
         else:
-            raise ConfigError("NODE_CONFIG names no file, and no operator's file is given")
+            raise ConfigError("NODE_CONFIG is not set, and no operator's file is given")
         config.inherited_fd = parse_descriptor(os.environ.get("NODE_INHERITED_FD", ""))
         config.shared_directory = os.environ.get("TMPDIR") if config.admin_listen else None
     except (ValueError, MessageError) as error:
@@ -166,20 +179,20 @@
     """Decodes the file that NODE_CONFIG names.
 
     Raises:
-        ConfigUnreadableError: The system refuses to read it for the moment.
-        ConfigError: It can't be used.
+        ConfigUnreadableError: It can't be read because of a transient error.
+        ConfigError: It can't be read, or its content is invalid.
     """
     try:
         return msgspec.json.decode(Path(path).read_bytes(), type=NodeConfig)
     except OSError as error:
-        unreadable = error.errno in TRANSIENT_READ_ERRORS
-        raise (ConfigUnreadableError if unreadable else ConfigError)(f"{path}: {error}") from None
+        is_transient = error.errno in TRANSIENT_READ_ERRORS
+        raise (ConfigUnreadableError if is_transient else ConfigError)(f"{path}: {error}") from None
     except (ValueError, msgspec.MsgspecError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
 def known_names(node: NodeConfig) -> dict[str, frozenset[str]]:
-    """The names that the settings define, for the check of an operator's file."""
+    """Returns the names that the settings define, by category, for checking an operator's file."""
     settings = node.settings
     return {
         "class": frozenset(spec.name for spec in settings.classes),
@@ -192,7 +205,7 @@
 def with_openai_hosts(
     settings: SettingsMessage, hosts: list[OpenAIHost]
 ) -> tuple[SettingsMessage, tuple[Endpoint, ...]]:
-    """The settings with one more kind for the operator's own hosts, and these hosts as endpoints."""
+    """Adds a kind for the operator's own hosts to the settings; returns them and the hosts as endpoints."""
     if not hosts:
         return settings, ()
     family = settings.family_info or TwoStageMessage()
@@ -213,15 +226,23 @@
 
 
 def parse_address(text: str) -> Address:
-    """`host:port`, with an IPv6 host in brackets. Raises ConfigError."""
+    """Parses `host:port`, with an IPv6 host in brackets.
+
+    Raises:
+        ConfigError: The text has another form.
+    """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit():
-        raise ConfigError(f"{text!r} is not an address and a port")
+        raise ConfigError(f"{text!r} is not of the form host:port")
     return host.strip("[]"), int(port)
 
 
 def parse_optional_address(key: str, text: str | None) -> Address | None:
-    """None where the key is missing or empty. Raises ConfigError that names the key."""
+    """Parses an address; returns None if it is missing or empty.
+
+    Raises:
+        ConfigError: The text is not an address; the error names the key.
+    """
     try:
         return parse_address(text) if text else None
     except ConfigError as error:
@@ -229,29 +250,37 @@
 
 
 def parse_seed(text: str) -> int:
-    """A hexadecimal number. Raises ConfigError."""
+    """Parses a hexadecimal number.
+
+    Raises:
+        ConfigError: The text is not a hexadecimal number.
+    """
     try:
         return int(text, 16)
     except ValueError:
-        raise ConfigError(f"seed: {text[:MAX_SHOWN_VALUE]!r} is no hexadecimal number") from None
+        raise ConfigError(f"seed: {text[:MAX_SHOWN_VALUE]!r} is not a hexadecimal number") from None
 
 
 def parse_descriptor(text: str) -> int | None:
-    """The number of an inherited file descriptor; None for an empty text. Raises ConfigError."""
+    """Parses the number of an inherited file descriptor; returns None for an empty text.
+
+    Raises:
+        ConfigError: The text is not a number.
+    """
     if text and not text.isdigit():
-        raise ConfigError(f"NODE_INHERITED_FD: {text!r} is no descriptor")
+        raise ConfigError(f"NODE_INHERITED_FD: {text!r} is not a file descriptor")
     return int(text) if text else None
 
 
 def _check_limits(limits: MachineLimits) -> None:
     if limits.sockets < MIN_SOCKETS or limits.memory_mb <= 0:
-        raise ConfigError(f"limits: nothing can be served with {limits}")
+        raise ConfigError(f"limits: at least {MIN_SOCKETS} sockets and some memory are needed, not {limits}")
 
 
-def _apply_environment(node: NodeConfig, *, again: bool) -> None:
+def _apply_environment(node: NodeConfig, *, is_reload: bool) -> None:
     node.listen = os.environ.get("NODE_LISTEN") or node.listen
-    started_with = os.environ.get("NODE_DISCOVERY", "")
-    node.discovery = (again and node.discovery) or started_with or node.discovery
+    discovery_at_start = os.environ.get("NODE_DISCOVERY", "")
+    node.discovery = (is_reload and node.discovery) or discovery_at_start or node.discovery
     node.mgmt = os.environ.get("NODE_MGMT") or node.mgmt
     node.name = os.environ.get("NODE_NAME") or node.name
 
@@ -263,7 +292,7 @@
     operator = compiled.file
     if node is None:
         if operator.settings is None:
-            raise OperatorConfigError(f"{file}: no class is defined, and no NODE_CONFIG brings any")
+            raise OperatorConfigError(f"{file}: no class is defined, and no NODE_CONFIG defines any")
         node = NodeConfig(
             settings=operator.settings,
             seed=secrets.token_hex(8),
--- a/violetstack/daemon/process.py
+++ b/violetstack/daemon/process.py
@@ -42,7 +42,7 @@
     config_errors: list[Exception] = []
     try:
         tolerate_wakeup_errors()
-        trio.run(run, config, lambda: load(path, file, again=True), early_sighup)
+        trio.run(run, config, lambda: load(path, file, is_reload=True), early_sighup)
     except* ConfigError as errors:  # an address is in use, or not one of this machine's
         config_errors += flatten_group(errors)
     for config_error in config_errors:
--- a/violetstack/operator_config.py
+++ b/violetstack/operator_config.py
@@ -1,7 +1,7 @@
-"""The operator's file as loaded: front, keys, models, hosts, stores, leases and certificates.
+"""The compiled operator's file: fronts, keys, models, hosts, stores, leases and certificates.
 
-`language.compiling` builds an OperatorConfig from a checked file; the file's routes, pools and policies are
-compiled to a routing plan. Keys of the file are met there; a field that is renamed here says so.
+`language.compiling` builds an OperatorConfig from a checked file, and compiles the file's routes, pools and
+policies to a routing plan. A field whose name differs from the key has the key as its `name` option.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class OperatorConfigError(Exception):
-    """The operator's file can't be used; the text names the place and the reason."""
+    """The operator's file is invalid; the text names the position or key, and the reason."""
 
 
 class ModelConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """A model that clients may ask for: its class of the settings, and its name at the hosts (`upstream`)."""
+    """A model that clients may request: its class in the settings, and its name at the hosts (`upstream`)."""
 
     name: str
     class_name: str = msgspec.field(name="class")
@@ -29,7 +29,7 @@
 
 
 class ApiKey(msgspec.Struct, forbid_unknown_fields=True):
-    """`key` is the secret itself, or `sha256:` and its hash; an empty `models` allows all of them."""
+    """A client's API key. `key` is the secret, or `sha256:` and its hash; empty `models` allows all."""
 
     key: str
     tenant: str
@@ -44,19 +44,19 @@
         return sha256(self.key.encode()).hexdigest()
 
     def may_use(self, model: ModelConfig) -> bool:
-        """Does this key give access to the model?"""
+        """Returns whether this key gives access to the model."""
         return not self.models or model.name in self.models
 
 
 class TenantConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """A tenant, and the class of its requests where its keys name none."""
+    """A tenant, and the class of its requests if the key has no class."""
 
     name: str
     class_name: str | None = msgspec.field(name="class", default=None)
 
 
 class OpenAIHost(msgspec.Struct, forbid_unknown_fields=True):
-    """A host that speaks OpenAI's API: it does prefill and decode, and has no state or reservation calls."""
+    """A host with OpenAI's API, which prefills and decodes, but has no calls for state or reservations."""
 
     id: str
     address: str
@@ -67,7 +67,7 @@
 
 
 class IdempotencyStoreConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """The file with the records of non-idempotent requests, and how long they are kept."""
+    """The file with the records of non-idempotent requests, and the time for which they are kept."""
 
     file: str
     keep_hours: float = 48.0
@@ -75,9 +75,10 @@
 
 
 class StateConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """The durable state. `folder` belongs to this dispatcher alone and outlives the process.
+    """The stored state. `folder` is used by this dispatcher alone and outlives the process.
 
-    `doubt` is the share of the hosts whose loss at once is not applied for `doubt_s`; 0 applies every loss.
+    If at least the share `doubt` of the hosts disappears from the endpoint list at once, the loss is applied
+    only after `doubt_s`; with 0, every loss is applied at once.
     """
 
     folder: str
@@ -87,10 +88,10 @@
 
 
 class LeaseConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """Leases between the dispatchers. The first of `keys` signs what is sent, any of them verifies.
+    """Leases between the dispatchers. The first of `keys` signs messages; each of them verifies messages.
 
-    `outlier_checks`: one dispatcher at a time checks an outlier. `restart_permits`: the number of dispatchers
-    that may restart at once, each waiting up to `restart_permit_wait_s` for its permit; 0 is no limit.
+    With `outlier_checks`, one dispatcher at a time checks an outlier. At most `restart_permits` dispatchers
+    restart at the same time, each waiting up to `restart_permit_wait_s` for its permit; 0 is no limit.
     """
 
     lease_s: float = 2.0
@@ -102,14 +103,14 @@
 
 
 class TlsFiles(msgspec.Struct, forbid_unknown_fields=True):
-    """The paths of the certificate chain and its private key, both PEM."""
+    """Paths of the certificate chain and its private key, both in PEM format."""
 
     certificate: str
     key: str
 
 
 class AcmeConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """Certificates by ACME. `trust`: a file with the authority's root, where the system does not have it."""
+    """Certificates by ACME; `trust` is a file with the authority's root if the system does not have it."""
 
     directory: str
     domains: list[str]
@@ -122,7 +123,7 @@
 
 
 class OperatorConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole file. `listen` is the chat front's address (empty: off), `platform` the platform front's."""
+    """The whole file; `listen` is the chat front's address (empty: off), `platform` the platform front's."""
 
     listen: str = ""
     platform: str = ""
@@ -143,13 +144,14 @@
 
 
 class ChatFrontConfig:
-    """The chat front's part of the file, checked against the settings it is used with.
+    """The configuration of the chat front, checked against the settings with which it is used.
 
-    Raises OperatorConfigError for names that the settings or the file do not have.
+    Raises:
+        OperatorConfigError: A class, tenant or model is undefined, or `acme` lacks `tls`.
     """
 
     def __init__(self, operator: OperatorConfig, settings: SettingsMessage) -> None:
-        """Checks the file's classes, tenants and models."""
+        """Checks the classes, tenants and models of the file."""
         self.operator = operator
         self.models = operator.models
         self.keys = operator.keys
@@ -158,30 +160,30 @@
         self._check_classes()
         self._check_keys()
         if operator.acme is not None and operator.tls is None:
-            raise OperatorConfigError("acme needs [tls], which names the files that it keeps")
+            raise OperatorConfigError("acme requires tls, which names the files of the certificate and key")
 
     def class_of(self, key: ApiKey, model: ModelConfig) -> int:
-        """The index of the key's class, else of its tenant's, else of the model's."""
-        tenant = next((t.class_name for t in self.operator.tenants if t.name == key.tenant), None)
-        return self._classes[key.class_name or tenant or model.class_name]
+        """Returns the index of the class of the key, else of its tenant, else of the model."""
+        tenant_class = next((t.class_name for t in self.operator.tenants if t.name == key.tenant), None)
+        return self._classes[key.class_name or tenant_class or model.class_name]
 
     def tenant_index(self, name: str) -> int:
-        """The index of the tenant; 0 where the settings define none."""
+        """Returns the index of the tenant; 0 if the settings do not define it."""
         return self._tenants.get(name, 0)
 
     def _check_classes(self) -> None:
-        named = [model.class_name for model in self.models]
-        named += [key.class_name for key in self.keys if key.class_name is not None]
-        named += [tenant.class_name for tenant in self.operator.tenants if tenant.class_name is not None]
-        for name in named:
+        class_names = [model.class_name for model in self.models]
+        class_names += [key.class_name for key in self.keys if key.class_name is not None]
+        class_names += [item.class_name for item in self.operator.tenants if item.class_name is not None]
+        for name in class_names:
             if name not in self._classes:
-                raise OperatorConfigError(f"class {name!r} is not among the settings' classes")
+                raise OperatorConfigError(f"class {name!r} is not defined in the settings")
 
     def _check_keys(self) -> None:
         models = {model.name for model in self.models}
         for key in self.keys:
             if self._tenants and key.tenant not in self._tenants:
-                raise OperatorConfigError(f"tenant {key.tenant!r} is not among the settings' tenants")
+                raise OperatorConfigError(f"tenant {key.tenant!r} of a key is not defined in the settings")
             for name in key.models:
                 if name not in models:
-                    raise OperatorConfigError(f"a key names the unknown model {name!r}")
+                    raise OperatorConfigError(f"model {name!r} of a key is not defined")
