--- a/violetstack/settings.py
+++ b/violetstack/settings.py
@@ -1,9 +1,9 @@
 """Decodes the settings object that operators and the simulator provide.
 
-The dispatcher reads it from its configuration, the simulator's adapter from its first message. The attributes
-of the `...Message` types are the object's keys and keep their spelling; `decode_settings` translates them.
-Durations are in milliseconds unless a key says otherwise. Unknown keys are ignored, and an absent value is
-null.
+The dispatcher reads it from its configuration, the simulator adapter from its first message. The attributes
+of the `...Message` types are the keys of the object and must not be renamed; `decode_settings` translates
+them to the names of `violetstack.policy_api.Settings`. Durations are in milliseconds unless the key has
+another unit. Unknown keys are ignored, and an absent value is null.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 # Values of `report.how`.
 REPORT_INLINE = "inline"
 REPORT_ON_HEALTH_CHECK = "on_probe"
-# The value of `membership_mode` that has the dispatcher watch the endpoint list.
+# The value of `membership_mode` with which the dispatcher watches the endpoint list.
 MODE_WATCH = "subscribe"
 
-IDEMPOTENCY_BY_WORD = {
+IDEMPOTENCY_BY_NAME = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.IDEMPOTENCY_KEY,
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
@@ -41,7 +41,7 @@
 
 
 class Message(msgspec.Struct):
-    """Base of the types that are decoded from JSON."""
+    """Base class of the types that are decoded from JSON."""
 
 
 class ClassMessage(Message):
@@ -67,7 +67,7 @@
 
 
 class TwoStageMessage(Message):
-    """What the hosts of a two-stage service can do; lists are by index of the host's kind or of the class."""
+    """Capabilities of the hosts of a two-stage service; lists have an entry for each kind or each class."""
 
     ahead: bool | None = None
     aim_us_per_1000_prompt_tokens: list[float] | None = None
@@ -80,7 +80,7 @@
 
 
 class LimitsMessage(Message):
-    """What the dispatcher may do to hosts."""
+    """Limits on the requests that the dispatcher sends to hosts."""
 
     cancel: bool | None = None
     connect_timeout: float | None = None
@@ -94,7 +94,7 @@
 
 
 class RulesMessage(Message):
-    """Times and shares that the service has to keep to."""
+    """Durations and shares of the service's rules for drains, watches, slow start and overload."""
 
     cold: float | None = None
     cold_share: float | None = None
@@ -106,7 +106,7 @@
 
 
 class LoadReportMessage(Message):
-    """How hosts report their load, and the names of the values in a report."""
+    """How hosts report their load (`how`), and the names of the values in a report."""
 
     how: str | None = None
     names: list[str] | None = None
@@ -131,17 +131,17 @@
 
 
 class MessageError(Exception):
-    """A message is not one that the protocol allows; the text names the field and the value."""
+    """A message has an invalid value; the text names the field and the value."""
 
 
-class UnknownWordError(MessageError):
-    """A field has a word that the protocol does not define."""
+class UnknownValueError(MessageError):
+    """A field has a value that the protocol does not define."""
 
-    def __init__(self, field: str, word: str | None) -> None:
+    def __init__(self, field: str, value: str | None) -> None:
         """Creates the error for a field and its value."""
-        super().__init__(f"unknown {field} {word!r}")
+        super().__init__(f"unknown {field} {value!r}")
         self.field = field
-        self.word = word
+        self.value = value
 
 
 class UnknownRoleError(MessageError):
@@ -153,11 +153,11 @@
 
 
 class TimeTooShortError(MessageError):
-    """A class of requests has no time for a response."""
+    """A latency objective or client timeout is too short for any response."""
 
     def __init__(self, field: str, value_ms: float) -> None:
         """Creates the error for a field and its value."""
-        super().__init__(f"{field}: {value_ms:g} ms leaves no time to answer in")
+        super().__init__(f"{field}: {value_ms:g} ms is too short for a response")
         self.field = field
         self.value_ms = value_ms
 
@@ -167,25 +167,25 @@
 
     def __init__(self) -> None:
         """Creates the error."""
-        super().__init__("classes: there is none, so nothing could be served")
+        super().__init__("classes: at least one class is required")
 
 
-def look_up(table: dict[str, T], word: str, field: str) -> T:
-    """Returns the table's entry for the word.
+def look_up(table: dict[str, T], value: str, field: str) -> T:
+    """Returns the entry of the table for a value of a field.
 
     Raises:
-        UnknownWordError: There is none.
+        UnknownValueError: The table has no such entry.
     """
-    if word not in table:
-        raise UnknownWordError(field, word)
-    return table[word]
+    if value not in table:
+        raise UnknownValueError(field, value)
+    return table[value]
 
 
 def decode_settings(message: SettingsMessage, seed: int) -> Settings:
-    """Translates the settings object; what is absent is not limited, not allowed or not known.
+    """Translates the settings object; an absent value means not limited, not allowed or not known.
 
     Raises:
-        MessageError: A value is outside of its range or is no word of the protocol, or no class is defined.
+        MessageError: A value is out of range or not defined by the protocol, or no class is defined.
     """
     if not message.classes:
         raise NoClassesError
@@ -199,8 +199,8 @@
         dispatcher_index=message.me,
         dispatcher_count=max(1, message.fleet_size),
         zone=message.zone,
-        classes=tuple(_class_settings(each, n, two_stage) for n, each in enumerate(message.classes)),
-        tenants=tuple(_tenant_settings(each) for each in message.parties or ()),
+        classes=tuple(_class_settings(item, i, two_stage) for i, item in enumerate(message.classes)),
+        tenants=tuple(_tenant_settings(tenant) for tenant in message.parties or ()),
         over_quota_weight=_or_default(message.over_share_worth, 1.0),
         roles=roles,
         memory_tokens=tuple(two_stage.kv_tokens or ()),
@@ -235,27 +235,27 @@
     return ClassSettings(
         latency_objective_ms=message.aim,
         client_timeout_ms=message.give_up,
-        idempotency=look_up(IDEMPOTENCY_BY_WORD, message.idempotency, "idempotency"),
+        idempotency=look_up(IDEMPOTENCY_BY_NAME, message.idempotency, "idempotency"),
         deduplication_scope=scope,
         deduplication_window_ms=message.window or 0.0,
         priority_weight=_or_default(message.value, 1.0),
         late_weight_share=message.late_value or 0.0,
-        objective_ms_per_1000_tokens=_nth(two_stage.aim_us_per_1000_prompt_tokens, index) / US_PER_MS,
+        objective_ms_per_1000_tokens=_entry_at(two_stage.aim_us_per_1000_prompt_tokens, index) / US_PER_MS,
         objective_stretch=message.aim_stretch or 0.0,
-        inter_token_objective_ms=_nth(two_stage.token_aim, index),
+        inter_token_objective_ms=_entry_at(two_stage.token_aim, index),
     )
 
 
-def _require_at_least(least_ms: float, value_ms: float, field: str) -> None:
-    if value_ms < least_ms:
+def _require_at_least(min_ms: float, value_ms: float, field: str) -> None:
+    if value_ms < min_ms:
         raise TimeTooShortError(field, value_ms)
 
 
-def _deduplication_scope(word: str | None) -> DeduplicationScope:
+def _deduplication_scope(name: str | None) -> DeduplicationScope:
     try:
-        return DeduplicationScope(word or "all")
+        return DeduplicationScope(name or "all")
     except ValueError:
-        raise UnknownWordError("group", word) from None
+        raise UnknownValueError("group", name) from None
 
 
 def _tenant_settings(message: TenantMessage) -> TenantSettings:
@@ -266,9 +266,9 @@
 
 
 def _roles(two_stage: TwoStageMessage, kind_count: int) -> tuple[Role, ...]:
-    words = two_stage.stage_of_kind or [Role.MIXED.value] * max(1, kind_count)
+    names = two_stage.stage_of_kind or [Role.MIXED.value] * max(1, kind_count)
     try:
-        return tuple(Role(word) for word in words)
+        return tuple(Role(name) for name in names)
     except ValueError as error:
         raise UnknownRoleError(str(error)) from None
 
@@ -283,5 +283,5 @@
     return default if value is None else value
 
 
-def _nth(values: list[float] | None, index: int) -> float:
+def _entry_at(values: list[float] | None, index: int) -> float:
     return values[index] if values is not None and index < len(values) else 0.0
