--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -315,7 +315,7 @@
     now[0] = 6.0
     rate_limited("client_rejected", reason="y")
     lines = capfd.readouterr().out.splitlines()
-    assert len(lines) == log.LINES_PER_SECOND + 1
+    assert len(lines) == log.MAX_LINES_PER_SECOND + 1
     assert max(map(len, lines)) < 400
     assert '"unlogged":80' in lines[-1]
 
--- a/violetstack/__main__.py
+++ b/violetstack/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m violetstack`: serves with the file that NODE_CONFIG names; with arguments, the command line."""
+"""`python -m violetstack`: runs the dispatcher with NODE_CONFIG, or with arguments the command line."""
 
 from __future__ import annotations
 
@@ -7,15 +7,18 @@
 import signal
 import sys
 
-gc.disable()  # until the daemon has started: a start leaves no garbage, and collections take a tenth of it
-# Until there is a handler, SIGHUP would end the process; the configuration is read after that in any case.
+# The daemon enables garbage collection once it has started: a start leaves no garbage, and collections would
+# take a tenth of its time.
+gc.disable()
+# Until the daemon has a handler, SIGHUP would end the process. It can be ignored until then, since the
+# configuration is read later anyway.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from violetstack.daemon.process import serve  # noqa: E402
 
 
 def main() -> int:
-    """Returns the exit status."""
+    """Runs the dispatcher or a command; returns the exit status."""
     if len(sys.argv) > 1:
         from violetstack.commands.main import main as command
 
--- a/violetstack/log.py
+++ b/violetstack/log.py
@@ -1,8 +1,8 @@
-"""Structured log: one JSON line an event on standard output, or a readable form on a terminal.
+"""Structured log: writes each event as a line of JSON to standard output, or in a console format.
 
-The level belongs to the event, not to who logs it: EVENT_LEVELS is the one table, and an event that is not
-in it has the level `info`. The environment variable VIOLETSTACK_LOG_LEVEL (`info`, `warning`, `error`) drops
-events of a lower level.
+The level depends only on the event: EVENT_LEVELS has the levels, and an event that is not in it has the level
+`info`. Events below the level in the environment variable VIOLETSTACK_LOG_LEVEL (`info`, `warning`, `error`)
+are not logged.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 from violetstack.log_writer import LogWriter
 
-LINES_PER_SECOND = 20  # of one event that clients or peers can cause
-MAX_TEXT_LENGTH = 200  # characters of a field of such an event
+MAX_LINES_PER_SECOND = 20  # of each event that clients or peers can cause
+MAX_TEXT_LENGTH = 200  # characters in a field of such an event
 LEVEL_ORDER = {"info": 0, "warning": 1, "error": 2}
 EVENT_LEVELS = {
     **dict.fromkeys(
@@ -90,28 +90,28 @@
     ),
 }
 
-quiet = False  # set by the rehearsal command: observers see the events, standard output does not
+quiet = False  # set by the rehearsal command: events are passed to observers only, not written
 minimum_level = LEVEL_ORDER.get(os.environ.get("VIOLETSTACK_LOG_LEVEL", "info"), 0)
-observers: list[Callable[[dict[str, Any]], None]] = []  # called with each event; the demo registers one
-FLUSH_TIMEOUT_S = 0.3  # at the end of the process, for an output that takes lines slowly
+observers: list[Callable[[dict[str, Any]], None]] = []  # called with each event; used by the demo
+FLUSH_TIMEOUT_S = 0.3  # at the end of the process, in case the output is slow or blocked
 _writer: LogWriter | None = None
 
 
 def write_in_background() -> None:
-    """From now on lines are written by a thread: a service must not wait for whoever reads its log."""
+    """Writes lines on a thread from now on, so that a slow reader of the log can't block the service."""
     global _writer  # noqa: PLW0603 - the process has one log
-    if _writer is None and sys.stdout is not None:  # None: the descriptor was closed before the start
+    if _writer is None and sys.stdout is not None:  # None if the descriptor was closed at startup
         _writer = LogWriter(sys.stdout.fileno(), _describe_drops)
 
 
 def flush() -> None:
-    """Waits for the lines that a thread still has to write, for `FLUSH_TIMEOUT_S` at most."""
+    """Waits until the thread has written all lines, for at most `FLUSH_TIMEOUT_S`."""
     if _writer is not None:
         _writer.flush(FLUSH_TIMEOUT_S)
 
 
 def dropped_lines() -> int:
-    """Returns how many lines the output did not take since the start."""
+    """Returns the number of lines that could not be written since the start."""
     return _writer.dropped if _writer is not None else 0
 
 
@@ -125,7 +125,7 @@
 
 
 def log(event: str, **fields: Any) -> None:
-    """Writes one event. Errors of the output are ignored: a closed pipe must not stop the service."""
+    """Logs an event. Output errors are ignored, so that a closed pipe does not stop the service."""
     level = EVENT_LEVELS.get(event, "info")
     if LEVEL_ORDER[level] < minimum_level:
         return
@@ -145,7 +145,7 @@
 
 
 def as_json(line: dict[str, Any]) -> bytes:
-    """The line as JSON; what JSON has no form for is written as its `str`."""
+    """Encodes a line as JSON; values of types that JSON lacks are converted with `str`."""
     return orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE)
 
 
@@ -153,8 +153,8 @@
 
 
 def use_console_format() -> None:
-    """Writes readable lines from now on. structlog is imported only here: it takes 1 MiB of memory."""
-    global render  # noqa: PLW0603 - the process has one log, in one format
+    """Writes lines in a console format from now on. structlog is imported here since it takes 1 MiB."""
+    global render  # noqa: PLW0603 - the process has one log format
     import structlog
 
     console = structlog.dev.ConsoleRenderer(colors=True, sort_keys=False, pad_event_to=16)
@@ -168,7 +168,7 @@
 
 
 class _Window(NamedTuple):
-    """The lines of one event: in the second `second`, and those dropped since the last line."""
+    """Number of lines of an event in the second `second`, and of those dropped since the last line."""
 
     second: int
     lines: int
@@ -176,33 +176,34 @@
 
 
 class RateLimitedLog:
-    """Logs events that clients or peers can cause at will: LINES_PER_SECOND of each, with short fields.
+    """Logs events that clients or peers can cause, at most MAX_LINES_PER_SECOND of each event.
 
-    The next line that is written has the number of dropped ones as `unlogged`. This bounds the processor time
-    and the disk space that a client or a peer can use up. `clock` returns seconds.
+    Long texts are truncated to MAX_TEXT_LENGTH characters. The next line of the same event has the number of
+    dropped lines as `unlogged`. This bounds the processor time and the disk space that clients and peers can
+    use up.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        """Starts with no lines counted."""
+        """Creates a log; `clock` returns seconds."""
         self._clock = clock
         self._windows: dict[str, _Window] = {}
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Writes the event, or counts it where there were too many of its kind in this second."""
+        """Logs an event, or counts it as dropped if the limit for this second is reached."""
         second = int(self._clock())
         window = self._windows.get(event, _Window(second, 0, 0))
         lines = window.lines if window.second == second else 0
-        if lines >= LINES_PER_SECOND:
+        if lines >= MAX_LINES_PER_SECOND:
             self._windows[event] = _Window(second, lines, window.dropped + 1)
             return
         self._windows[event] = _Window(second, lines + 1, 0)
-        short = {
+        truncated = {
             name: value[:MAX_TEXT_LENGTH] if isinstance(value, str) else value
             for name, value in fields.items()
         }
         if window.dropped:
-            short["unlogged"] = window.dropped
-        log(event, **short)
+            truncated["unlogged"] = window.dropped
+        log(event, **truncated)
 
 
 log_rate_limited = RateLimitedLog()
--- a/violetstack/log_writer.py
+++ b/violetstack/log_writer.py
@@ -1,7 +1,7 @@
-"""Writes log lines on a thread of its own, so that no reader, disk or terminal holds up who logs.
+"""Writes log lines on a separate thread, so that a slow reader, disk or terminal does not block the callers.
 
-Lines wait in a bounded queue. Those that do not fit, or that the system does not take, are counted, and the
-count is written as a line `log_lines_dropped` once the output takes lines again.
+Lines wait in a bounded queue. Lines that do not fit or can't be written are dropped and counted, and the
+count is written as the event `log_lines_dropped` once lines can be written again.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from collections.abc import Callable
 
 MAX_QUEUED_BYTES = 512 * 1024
-"""Some 2,000 lines; as much again may be in the write that the output does not take."""
+"""About 2,000 lines. As many bytes again may be held by a write that is blocked."""
 NEWLINE = ord("\n")
 
 
 class LogWriter:
-    """Writes lines to a descriptor, in their order. `write` never blocks.
+    """Writes lines to a file descriptor in the order of the calls. `write` never blocks on the output.
 
     Attributes:
-        dropped: Number of lines that were not written since the start.
+        dropped: Number of lines dropped since the start.
     """
 
     def __init__(self, descriptor: int, describe_drops: Callable[[int], bytes]) -> None:
         """Starts the thread.
 
         Args:
-            descriptor: Where lines go; it stays open until the process ends.
-            describe_drops: Returns the line that tells of so many dropped ones.
+            descriptor: File descriptor of the output, which has to stay open until the process ends.
+            describe_drops: Returns the line that reports a number of dropped lines.
         """
         self.dropped = 0
         self._descriptor = descriptor
@@ -43,7 +43,7 @@
         threading.Thread(target=self._run, name="log writer", daemon=True).start()
 
     def write(self, line: bytes) -> None:
-        """Queues a line, which ends with a newline, or counts it as dropped."""
+        """Queues a line, which has to end with a newline, or drops it if the queue is full."""
         with self._changed:
             if self._queued_bytes + len(line) > MAX_QUEUED_BYTES:
                 self._count_dropped(1)
@@ -54,7 +54,7 @@
                 self._changed.notify_all()
 
     def flush(self, timeout_s: float) -> bool:
-        """Waits until all lines are written, for `timeout_s` at most; returns whether they are."""
+        """Waits until all lines are written, for at most `timeout_s`; returns whether they are."""
         with self._changed:
             return self._changed.wait_for(lambda: not self._lines and not self._writing, timeout_s)
 
@@ -63,8 +63,8 @@
         self._unreported += lines
 
     def _run(self) -> None:
-        # Signals are for the main thread: one that another thread takes after a stop is handled later than
-        # what has come meanwhile is read.
+        # Signals are left to the main thread: a signal that this thread received when the process continues
+        # after a stop would be handled only after the main thread has read the data that arrived meanwhile.
         signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
         while True:
             lines, unreported = self._take()
@@ -74,14 +74,15 @@
             with self._changed:
                 self._writing = False
                 if not written:
-                    # The line that told of drops is one of `lines`, and is told again.
+                    # `lines` includes the report of dropped lines, which was not among the queued lines. Its
+                    # count is reported again.
                     lost = len(lines) - (1 if unreported else 0)
                     self._count_dropped(lost)
                     self._unreported += unreported
                 self._changed.notify_all()
 
     def _take(self) -> tuple[list[bytes], int]:
-        """Waits for lines; returns them with the number of dropped ones to tell of."""
+        """Waits for lines; returns them and the number of dropped lines that are not reported yet."""
         with self._changed:
             while not self._lines:
                 self._changed.wait()
@@ -94,7 +95,7 @@
             return lines, unreported
 
     def _write_all(self, data: bytes) -> bool:
-        """Returns False if the output failed, as a closed pipe or a full disk does."""
+        """Writes all data; returns False if the output failed, such as a closed pipe or a full disk."""
         if self._line_is_partial:
             data = b"\n" + data
         written = 0
@@ -109,7 +110,7 @@
         return True
 
     def _wait_writable(self) -> None:
-        """For an output that another process has set to non-blocking."""
+        """Waits until the output is writable; needed if another process has set it to non-blocking."""
         poll = select.poll()
         poll.register(self._descriptor, select.POLLOUT)
         poll.poll()
