--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -1,4 +1,4 @@
-"""The OpenAI-style front: one whole path, deadlines, refusals, errors, and orders that never run twice."""
+"""The chat front: streams, deadlines, rejections, errors, and keyed requests that never run twice."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 )
 from violetstack.rehearsal.stage import Stage, stage
 
-ORDER = "giro-orden"
-QUERY = "giro-consulta"
+KEYED_MODEL = "giro-orden"
+IDEMPOTENT_MODEL = "giro-consulta"
 
 
-def plain(*acts: Act) -> ModelHost:
+def openai_host(*acts: Act) -> ModelHost:
     return ModelHost("o", "openai", *acts)
 
 
@@ -46,43 +46,45 @@
     return {"ledger": {"file": str(tmp_path / "orders.sqlite"), "lease_s": 0.5}}
 
 
-def test_a_stream_is_openai_chunks_and_one_done() -> None:
+def test_a_stream_has_openai_chunks_and_one_done_event() -> None:
     async def story(on: Stage) -> None:
-        answer = await ask_chat(on.chat, chat_body(QUERY, stream_options={"include_usage": True}))
+        answer = await ask_chat(on.chat, chat_body(IDEMPOTENT_MODEL, stream_options={"include_usage": True}))
         assert (answer.status, answer.headers["content-type"]) == (200, "text/event-stream")
-        rows = [orjson.loads(event) for event in answer.events[:-1]]
+        chunks = [orjson.loads(event) for event in answer.events[:-1]]
         assert answer.events[-1] == b"[DONE]" and answer.events.count(b"[DONE]") == 1
-        assert {row["object"] for row in rows} == {"chat.completion.chunk"}
-        assert {row["model"] for row in rows} == {QUERY}
-        assert rows[0]["choices"][0]["delta"]["role"] == "assistant"
-        assert rows[-1]["usage"]["completion_tokens"] == 3 and rows[-1]["choices"] == []
+        assert {chunk["object"] for chunk in chunks} == {"chat.completion.chunk"}
+        assert {chunk["model"] for chunk in chunks} == {IDEMPOTENT_MODEL}
+        assert chunks[0]["choices"][0]["delta"]["role"] == "assistant"
+        assert chunks[-1]["usage"]["completion_tokens"] == 3 and chunks[-1]["choices"] == []
 
     play(*pair(), story=story)
 
 
-@pytest.mark.parametrize("hosts", [pair, lambda: (plain(),)], ids=["two-stage", "plain"])
-def test_openais_own_client_is_served_streamed_and_whole(hosts: object) -> None:
+@pytest.mark.parametrize("hosts", [pair, lambda: (openai_host(),)], ids=["two-stage", "openai"])
+def test_the_openai_client_gets_streamed_and_complete_answers(hosts: object) -> None:
     async def story(on: Stage) -> None:
-        def ask() -> tuple[str | None, str]:
+        def send_both() -> tuple[str | None, str]:
             url = f"http://{on.chat[0]}:{on.chat[1]}/v1"
             with openai.OpenAI(base_url=url, api_key="kiosk-key", max_retries=0) as client:
-                assert [m.id for m in client.models.list()] == [QUERY, ORDER]
+                assert [m.id for m in client.models.list()] == [IDEMPOTENT_MODEL, KEYED_MODEL]
                 create = client.chat.completions.create
-                whole = create(model=QUERY, messages=[{"role": "user", "content": "hi"}])
-                parts = create(model=QUERY, messages=[{"role": "user", "content": "hi"}], stream=True)
-                return whole.choices[0].message.content, "".join(
-                    part.choices[0].delta.content or "" for part in parts
+                complete = create(model=IDEMPOTENT_MODEL, messages=[{"role": "user", "content": "hi"}])
+                chunks = create(
+                    model=IDEMPOTENT_MODEL, messages=[{"role": "user", "content": "hi"}], stream=True
+                )
+                return complete.choices[0].message.content, "".join(
+                    chunk.choices[0].delta.content or "" for chunk in chunks
                 )
 
-        whole, streamed = await trio.to_thread.run_sync(ask)
-        assert whole == streamed != ""
+        complete, streamed = await trio.to_thread.run_sync(send_both)
+        assert complete == streamed != ""
 
     play(*hosts(), story=story)  # type: ignore[operator]
 
 
-def test_a_stream_cut_after_its_first_event_ends_in_one_error_event() -> None:
+def test_a_stream_that_breaks_after_its_first_event_ends_with_one_error_event() -> None:
     async def story(on: Stage) -> None:
-        answer = await ask_chat(on.chat, chat_body(QUERY))
+        answer = await ask_chat(on.chat, chat_body(IDEMPOTENT_MODEL))
         assert (answer.status, answer.whole, len(answer.events)) == (200, True, 3)
         assert orjson.loads(answer.events[-1])["error"]["code"] == "stream_broken"
         assert b"[DONE]" not in answer.body
@@ -90,29 +92,31 @@
     play(*pair(CUT), story=story)
 
 
-def test_a_cut_answer_that_was_not_streamed_gets_a_status() -> None:
+def test_a_break_of_an_answer_that_is_not_streamed_is_answered_with_an_error_status() -> None:
     async def story(on: Stage) -> None:
-        answer = await ask_chat(on.chat, chat_body(QUERY, stream=False))
+        answer = await ask_chat(on.chat, chat_body(IDEMPOTENT_MODEL, stream=False))
         assert (answer.status, "retry-after" in answer.headers) == (503, True)
 
     play(*pair(CUT), story=story)
 
 
-def test_a_refusal_tells_when_to_come_back() -> None:
+def test_a_rejection_states_when_to_retry() -> None:
     async def story(on: Stage) -> None:
-        answer = await ask_chat(on.chat, chat_body(QUERY))
+        answer = await ask_chat(on.chat, chat_body(IDEMPOTENT_MODEL))
         assert (answer.status, answer.headers["retry-after"]) == (503, "1")
         assert answer.json["error"]["code"] == "overloaded"
 
     play(*pair(*[DECLINE] * 5), story=story)
 
 
-def test_the_clients_deadline_counts_if_it_is_shorter() -> None:
+def test_a_client_timeout_shorter_than_the_classs_timeout_is_applied() -> None:
     async def story(on: Stage) -> None:
-        before = trio.current_time()
-        answer = await ask_chat(on.chat, chat_body(QUERY), chat_headers(X_Stainless_Read_Timeout="0.3"))
+        started_at = trio.current_time()
+        answer = await ask_chat(
+            on.chat, chat_body(IDEMPOTENT_MODEL), chat_headers(X_Stainless_Read_Timeout="0.3")
+        )
         assert answer.outcome == "refused"
-        assert trio.current_time() - before < 2.0
+        assert trio.current_time() - started_at < 2.0
 
     play(*pair(reads=(SILENT,)), story=story)
 
@@ -120,19 +124,19 @@
 @pytest.mark.parametrize(
     ("body", "headers", "status", "code"),
     [
-        (chat_body(QUERY), [], 401, "invalid_api_key"),
-        (chat_body(QUERY), chat_headers(key="other"), 401, "invalid_api_key"),
+        (chat_body(IDEMPOTENT_MODEL), [], 401, "invalid_api_key"),
+        (chat_body(IDEMPOTENT_MODEL), chat_headers(key="other"), 401, "invalid_api_key"),
         (chat_body("nothing"), chat_headers(), 404, "model_not_found"),
         (b"{", chat_headers(), 400, None),
         (b'{"model":"giro-consulta","messages":[]}', chat_headers(), 400, None),
-        (chat_body(QUERY, n=2), chat_headers(), 400, None),
-        (chat_body(QUERY, max_tokens=0), chat_headers(), 400, None),
-        (chat_body(QUERY, text="x" * 300_000), chat_headers(), 413, None),
-        (chat_body(ORDER), chat_headers(), 400, "idempotency_key_missing"),
-        (chat_body(ORDER), chat_headers("k1"), 503, "orders_unavailable"),
+        (chat_body(IDEMPOTENT_MODEL, n=2), chat_headers(), 400, None),
+        (chat_body(IDEMPOTENT_MODEL, max_tokens=0), chat_headers(), 400, None),
+        (chat_body(IDEMPOTENT_MODEL, text="x" * 300_000), chat_headers(), 413, None),
+        (chat_body(KEYED_MODEL), chat_headers(), 400, "idempotency_key_missing"),
+        (chat_body(KEYED_MODEL), chat_headers("k1"), 503, "orders_unavailable"),
     ],
 )
-def test_what_cant_be_taken_gets_an_error_object(
+def test_a_request_that_cant_be_served_is_answered_with_an_error_object(
     body: bytes, headers: list[tuple[str, str]], status: int, code: str | None
 ) -> None:
     async def story(on: Stage) -> None:
@@ -143,258 +147,265 @@
     play(*pair(), story=story)
 
 
-def test_a_finished_order_is_told_again_and_not_run(tmp_path: Path) -> None:
-    reader, writer = pair()
+def test_a_completed_keyed_request_is_replayed_and_not_run_again(tmp_path: Path) -> None:
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        first = await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))
-        again = await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))
-        fresh = await ask_chat(on.chat, chat_body(ORDER, stream=False), chat_headers("k2"))
-        assert again.events == first.events
-        assert (fresh.text, fresh.headers["idempotent-replayed"]) == (first.text, "true")
-        assert sum(writer.runs.values()) == 1
+        first = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
+        with_same_key = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
+        with_new_key = await ask_chat(on.chat, chat_body(KEYED_MODEL, stream=False), chat_headers("k2"))
+        assert with_same_key.events == first.events
+        assert (with_new_key.text, with_new_key.headers["idempotent-replayed"]) == (first.text, "true")
+        assert sum(decode_host.runs.values()) == 1
 
-    play(reader, writer, story=story, chat=with_idempotency_store(tmp_path))
+    play(prefill_host, decode_host, story=story, chat=with_idempotency_store(tmp_path))
 
 
-def test_one_key_stands_for_one_body(tmp_path: Path) -> None:
+def test_reusing_a_key_with_another_body_is_rejected(tmp_path: Path) -> None:
     async def story(on: Stage) -> None:
-        await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))
-        other = await ask_chat(on.chat, chat_body(ORDER, text="more"), chat_headers("k1"))
-        assert (other.status, other.json["error"]["code"]) == (422, "idempotency_key_reused")
+        await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
+        second = await ask_chat(on.chat, chat_body(KEYED_MODEL, text="more"), chat_headers("k1"))
+        assert (second.status, second.json["error"]["code"]) == (422, "idempotency_key_reused")
 
     play(*pair(), story=story, chat=with_idempotency_store(tmp_path))
 
 
-def test_a_running_order_is_a_conflict_and_outlives_its_client(tmp_path: Path) -> None:
-    hold = trio.Event()
-    reader, writer = pair(Act(pause=hold))
+def test_a_running_keyed_request_is_a_conflict_and_continues_without_its_client(tmp_path: Path) -> None:
+    finish = trio.Event()
+    prefill_host, decode_host = pair(Act(pause=finish))
 
     async def story(on: Stage) -> None:
         call = await connect(on.chat)
-        await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body(ORDER))
+        await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body(KEYED_MODEL))
         await call.receive(events=3)
-        during = await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))
-        assert (during.status, during.json["error"]["code"]) == (409, "order_running")
+        while_running = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
+        assert (while_running.status, while_running.json["error"]["code"]) == (409, "order_running")
         await call.stream.aclose()
-        hold.set()
-        while (later := await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))).status == 409:
+        finish.set()
+        while (later := await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))).status == 409:
             pass
-        assert (later.outcome, sum(writer.runs.values())) == ("served", 1)
+        assert (later.outcome, sum(decode_host.runs.values())) == ("served", 1)
 
-    play(reader, writer, story=story, chat=with_idempotency_store(tmp_path))
+    play(prefill_host, decode_host, story=story, chat=with_idempotency_store(tmp_path))
 
 
 @pytest.mark.parametrize("act", [CUT, RESET, ERROR], ids=["cut", "reset", "error"])
-def test_an_order_that_may_have_run_stays_failed(tmp_path: Path, act: Act) -> None:
-    reader, writer = pair(act)
+def test_a_keyed_request_that_may_have_run_stays_failed(tmp_path: Path, act: Act) -> None:
+    prefill_host, decode_host = pair(act)
 
     async def story(on: Stage) -> None:
-        first = await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))
+        first = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
         assert first.outcome in ("cut", "failed")
         for key in ("k1", "k2"):
-            again = await ask_chat(on.chat, chat_body(ORDER), chat_headers(key))
-            assert (again.status, again.headers["x-should-retry"]) == (502, "false")
-            assert "retry-after" not in again.headers
-        assert len(writer.begun) == 1
+            retried = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers(key))
+            assert (retried.status, retried.headers["x-should-retry"]) == (502, "false")
+            assert "retry-after" not in retried.headers
+        assert len(decode_host.begun) == 1
 
-    play(reader, writer, story=story, chat=with_idempotency_store(tmp_path))
+    play(prefill_host, decode_host, story=story, chat=with_idempotency_store(tmp_path))
 
 
-def test_openais_own_retries_run_no_order_twice(tmp_path: Path) -> None:
-    """Its client sends again by itself what it was not told to leave alone."""
-    broken = plain(RESET)
-    turned = plain(*[TOO_MANY] * 2)
+def test_retries_of_the_openai_client_run_no_keyed_request_twice(tmp_path: Path) -> None:
+    """The client retries by itself unless the response forbids it."""
+    resetting_host = openai_host(RESET)
+    rejecting_host = openai_host(*[TOO_MANY] * 2)
 
-    def ask(on: Stage, key: str) -> openai.types.chat.ChatCompletion:
+    def send(on: Stage, key: str) -> openai.types.chat.ChatCompletion:
         url = f"http://{on.chat[0]}:{on.chat[1]}/v1"
         with openai.OpenAI(base_url=url, api_key="kiosk-key", max_retries=3) as client:
             return client.chat.completions.create(
-                model=ORDER,
+                model=KEYED_MODEL,
                 messages=[{"role": "user", "content": "hi"}],
                 extra_headers={"Idempotency-Key": key},
             )
 
-    async def fails(on: Stage) -> None:
-        with pytest.raises(openai.APIStatusError) as failed:
-            await trio.to_thread.run_sync(ask, on, "k1")
-        assert (failed.value.status_code, len(broken.begun)) == (502, 1)
+    async def expect_failure(on: Stage) -> None:
+        with pytest.raises(openai.APIStatusError) as error:
+            await trio.to_thread.run_sync(send, on, "k1")
+        assert (error.value.status_code, len(resetting_host.begun)) == (502, 1)
 
-    async def goes_again(on: Stage) -> None:
-        answer = await trio.to_thread.run_sync(ask, on, "k2")
+    async def expect_success(on: Stage) -> None:
+        answer = await trio.to_thread.run_sync(send, on, "k2")
         assert answer.choices[0].finish_reason == "stop"
-        assert (len(turned.begun), sum(turned.runs.values())) == (3, 1)
+        assert (len(rejecting_host.begun), sum(rejecting_host.runs.values())) == (3, 1)
 
-    play(broken, story=fails, chat=with_idempotency_store(tmp_path / "a"))
-    play(turned, story=goes_again, chat=with_idempotency_store(tmp_path / "b"))
+    play(resetting_host, story=expect_failure, chat=with_idempotency_store(tmp_path / "a"))
+    play(rejecting_host, story=expect_success, chat=with_idempotency_store(tmp_path / "b"))
 
 
-def test_an_order_proven_not_run_may_go_again(tmp_path: Path) -> None:
-    host = plain(TOO_MANY, TOO_MANY, TOO_MANY, TOO_MANY, TOO_MANY)
+def test_a_keyed_request_that_has_not_run_can_be_retried(tmp_path: Path) -> None:
+    host = openai_host(TOO_MANY, TOO_MANY, TOO_MANY, TOO_MANY, TOO_MANY)
 
     async def story(on: Stage) -> None:
-        first = await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))
+        first = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
         assert first.outcome == "refused"
         host.acts.clear()
-        while (again := await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))).status == 409:
+        while (retry := await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))).status == 409:
             pass
-        assert (again.outcome, sum(host.runs.values())) == ("served", 1)
+        assert (retry.outcome, sum(host.runs.values())) == ("served", 1)
 
     play(host, story=story, chat=with_idempotency_store(tmp_path))
 
 
-def test_a_plain_hosts_stream_without_done_is_broken() -> None:
-    """A plain host's 5xx or break may have run; a 429 did not."""
-    host = plain(CUT)
+def test_a_stream_of_an_openai_host_without_done_counts_as_broken() -> None:
+    """After a 5xx or a break an OpenAI host may have run the request; after a 429 it has not."""
+    host = openai_host(CUT)
 
     async def story(on: Stage) -> None:
-        answer = await ask_chat(on.chat, chat_body(QUERY))
+        answer = await ask_chat(on.chat, chat_body(IDEMPOTENT_MODEL))
         assert answer.outcome == "cut"
         body = orjson.loads(host.bodies[0])
-        assert (body["stream"], body["model"]) == (True, QUERY)
+        assert (body["stream"], body["model"]) == (True, IDEMPOTENT_MODEL)
         assert host.calls == []
 
     play(host, story=story)
 
 
-def test_an_error_event_of_a_plain_host_is_a_break(tmp_path: Path) -> None:
-    host = plain(Act(events=1, error_event=True))
+def test_an_error_event_of_an_openai_host_counts_as_a_break(tmp_path: Path) -> None:
+    host = openai_host(Act(events=1, error_event=True))
 
     async def story(on: Stage) -> None:
-        answer = await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))
+        answer = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
         assert orjson.loads(answer.events[-1])["error"]["code"] == "stream_broken"
-        again = await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))
-        assert (again.status, len(host.begun)) == (502, 1)
+        retried = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
+        assert (retried.status, len(host.begun)) == (502, 1)
 
     play(host, story=story, chat=with_idempotency_store(tmp_path))
 
 
 def test_dispatchers_that_share_the_idempotency_store_run_a_request_once(tmp_path: Path) -> None:
-    hold = trio.Event()
-    first = plain(Act(pause=hold))
-    second = plain()
+    finish = trio.Event()
+    first_host = openai_host(Act(pause=finish))
+    second_host = openai_host()
 
     async def main() -> None:
         with trio.fail_after(15):
             async with (
-                stage(first, chat=with_idempotency_store(tmp_path)) as one,
-                stage(second, chat=with_idempotency_store(tmp_path)) as two,
+                stage(first_host, chat=with_idempotency_store(tmp_path)) as first,
+                stage(second_host, chat=with_idempotency_store(tmp_path)) as second,
             ):
-                call = await connect(one.chat)
-                await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body(ORDER))
+                call = await connect(first.chat)
+                await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body(KEYED_MODEL))
                 await call.receive(events=3)
-                during = await ask_chat(two.chat, chat_body(ORDER), chat_headers("k1"))
-                assert during.json["error"]["code"] == "order_running"
-                hold.set()
+                while_running = await ask_chat(second.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
+                assert while_running.json["error"]["code"] == "order_running"
+                finish.set()
                 assert (await call.receive()).outcome == "served"
-                while (later := await ask_chat(two.chat, chat_body(ORDER), chat_headers("k2"))).status == 409:
+                while (
+                    later := await ask_chat(second.chat, chat_body(KEYED_MODEL), chat_headers("k2"))
+                ).status == 409:
                     pass
                 assert later.outcome == "served"
-        assert second.begun == []
+        assert second_host.begun == []
 
     trio.run(main)
 
 
-def test_an_order_of_a_dead_dispatcher_may_have_run(tmp_path: Path) -> None:
-    reader, writer = pair(Act(pause=trio.Event()))
+def test_a_keyed_request_of_a_stopped_dispatcher_may_have_run(tmp_path: Path) -> None:
+    prefill_host, decode_host = pair(Act(pause=trio.Event()))
 
     async def main() -> None:
         with trio.fail_after(15):
-            async with stage(reader, writer, chat=with_idempotency_store(tmp_path)) as on:
+            async with stage(prefill_host, decode_host, chat=with_idempotency_store(tmp_path)) as on:
                 call = await connect(on.chat)
-                await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body(ORDER))
+                await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body(KEYED_MODEL))
                 await call.receive(events=3)
-            fresh = pair()
-            async with stage(*fresh, chat=with_idempotency_store(tmp_path)) as on:
-                while (again := await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))).status == 409:
+            new_hosts = pair()
+            async with stage(*new_hosts, chat=with_idempotency_store(tmp_path)) as on:
+                while (
+                    retry := await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
+                ).status == 409:
                     await trio.sleep(0.05)
-                assert again.json["error"]["code"] == "order_may_have_run"
-                assert fresh[1].begun == []
+                assert retry.json["error"]["code"] == "order_may_have_run"
+                assert new_hosts[1].begun == []
 
     trio.run(main)
 
 
-def test_mixed_traffic_has_the_same_outcomes_on_both_faces(tmp_path: Path) -> None:
-    """Cuts, refusals, errors, retries and a restart: one final event a request, no order run twice."""
+def test_mixed_traffic_has_the_same_outcomes_on_both_fronts(tmp_path: Path) -> None:
+    """Breaks, rejections, errors, retries and a restart: one final event each, no keyed request twice."""
     acts = [Act(), CUT, DECLINE, DECLINE, ERROR, Act(), ERROR, RESET, Act(), RESET, CUT]
-    kinds = ["consulta", "orden"] * 6
+    classes = ["consulta", "orden"] * 6
 
-    async def ask(face: str, on: Stage, n: int, key: str = "") -> Answer:
-        if face == "platform":
-            return await ask_platform(on.platform, f"q{n}", kinds[n], text=f"text {n}")
-        body = chat_body(f"giro-{kinds[n]}", text=f"text {n}")
+    async def send(front: str, on: Stage, n: int, key: str = "") -> Answer:
+        if front == "platform":
+            return await ask_platform(on.platform, f"q{n}", classes[n], text=f"text {n}")
+        body = chat_body(f"giro-{classes[n]}", text=f"text {n}")
         answer = await ask_chat(on.chat, body, chat_headers(key or f"k{n}"))
-        final = [e for e in answer.events if e == b"[DONE]" or e.startswith(b'{"error"')]
-        assert len(final) == (answer.status == 200)
+        final_events = [e for e in answer.events if e == b"[DONE]" or e.startswith(b'{"error"')]
+        assert len(final_events) == (answer.status == 200)
         return answer
 
-    async def retry(on: Stage, told: list[str]) -> None:
-        """Under the old key and a fresh one; only what provably did not run may go again, later."""
-        for n, outcome in enumerate(told):
-            for key in (f"k{n}", f"k{n}-again") if kinds[n] == "orden" and outcome != "refused" else ():
-                again = await ask("chat", on, n, key)
-                assert again.outcome == ("served" if outcome == "served" else "failed")
-
-    async def replay(face: str) -> tuple[list[str], ModelHost]:
-        reader, writer = pair(*acts)
-        told: list[str] = []
-        for part in (range(6), range(6, 12)):  # a restart lies between
-            async with stage(reader, writer, chat=with_idempotency_store(tmp_path)) as on:
-                told.extend([(await ask(face, on, n)).outcome for n in part])
-                if face == "chat":
-                    await retry(on, told)
-        return told, writer
+    async def retry(on: Stage, outcomes: list[str]) -> None:
+        """Retries keyed requests with the same key and with a new one.
+
+        Rejected requests are not retried: they have not run, so that a retry would run.
+        """
+        for n, outcome in enumerate(outcomes):
+            for key in (f"k{n}", f"k{n}-again") if classes[n] == "orden" and outcome != "refused" else ():
+                retried = await send("chat", on, n, key)
+                assert retried.outcome == ("served" if outcome == "served" else "failed")
+
+    async def run_traffic(front: str) -> tuple[list[str], ModelHost]:
+        prefill_host, decode_host = pair(*acts)
+        outcomes: list[str] = []
+        for part in (range(6), range(6, 12)):  # the dispatcher restarts between the parts
+            async with stage(prefill_host, decode_host, chat=with_idempotency_store(tmp_path)) as on:
+                outcomes.extend([(await send(front, on, n)).outcome for n in part])
+                if front == "chat":
+                    await retry(on, outcomes)
+        return outcomes, decode_host
 
     async def main() -> None:
         with trio.fail_after(30):
-            mine, writer = await replay("chat")
-            theirs, other = await replay("platform")
-            assert mine == theirs
-            assert set(mine) == {"served", "cut", "refused", "failed"}
-            assert writer.runs == other.runs
-            orders = [messages_digest(chat_body("", text=f"text {n}")) for n in range(1, 12, 2)]
-            assert max(writer.runs[name] for name in orders) == 1
+            chat_outcomes, decode_host = await run_traffic("chat")
+            platform_outcomes, platform_decode_host = await run_traffic("platform")
+            assert chat_outcomes == platform_outcomes
+            assert set(chat_outcomes) == {"served", "cut", "refused", "failed"}
+            assert decode_host.runs == platform_decode_host.runs
+            keyed_bodies = [messages_digest(chat_body("", text=f"text {n}")) for n in range(1, 12, 2)]
+            assert max(decode_host.runs[name] for name in keyed_bodies) == 1
 
     trio.run(main)
 
 
 def test_a_claimed_request_is_not_sent_once_the_lease_is_lost(tmp_path: Path) -> None:
-    """The process did not run for longer than its lease after the claim."""
-    reader, writer = pair()
+    """The lease of a process that is paused after the claim can expire before it sends the request."""
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         assert on.daemon.fronts.idempotency is not None
         holds_lease = on.daemon.fronts.idempotency.holds_lease
         on.daemon.fronts.idempotency.holds_lease = lambda: False  # type: ignore[method-assign]
-        told = await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))
-        assert (told.status, reader.begun, writer.begun) == (503, [], [])
+        answer = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
+        assert (answer.status, prefill_host.begun, decode_host.begun) == (503, [], [])
         on.daemon.fronts.idempotency.holds_lease = holds_lease  # type: ignore[method-assign]
-        while (again := await ask_chat(on.chat, chat_body(ORDER), chat_headers("k1"))).status == 409:
+        while (retry := await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))).status == 409:
             await trio.sleep(0.01)
-        assert again.outcome == "served" and len(writer.begun) == 1
+        assert retry.outcome == "served" and len(decode_host.begun) == 1
 
-    play(reader, writer, story=story, chat=with_idempotency_store(tmp_path))
+    play(prefill_host, decode_host, story=story, chat=with_idempotency_store(tmp_path))
 
 
-def test_a_request_withheld_on_its_way_never_reaches_its_host_whole() -> None:
+def test_a_request_that_is_withheld_while_it_is_sent_never_reaches_its_host_completely() -> None:
     async def main() -> None:
-        ours, theirs = socket.socketpair()
-        asked: list[bool] = []
-        ours.setblocking(False)
-        connection = UpstreamConnection(ours, "w")
-        with theirs:
+        dispatcher_end, host_end = socket.socketpair()
+        checks: list[bool] = []
+        dispatcher_end.setblocking(False)
+        connection = UpstreamConnection(dispatcher_end, "w")
+        with host_end:
 
-            def allowed() -> bool:
-                asked.append(True)
-                return len(asked) < 3
+            def is_allowed() -> bool:
+                checks.append(True)
+                return len(checks) < 3
 
             with pytest.raises(SendWithheldError):
-                await connection.write([b"head", bytes(8 * 2**20)], asked.clear, allowed)
-            assert len(asked) == 3
+                await connection.write([b"head", bytes(8 * 2**20)], checks.clear, is_allowed)
+            assert len(checks) == 3
             connection.close()
-            came = 0
-            while data := theirs.recv(2**20):
-                came += len(data)
-            assert came < 8 * 2**20
+            received_bytes = 0
+            while data := host_end.recv(2**20):
+                received_bytes += len(data)
+            assert received_bytes < 8 * 2**20
 
     trio.run(main)
--- a/tests/test_forwarded_headers.py
+++ b/tests/test_forwarded_headers.py
@@ -58,8 +58,10 @@
 
     async def story(on: Stage) -> None:
         call = await connect(on.platform)
-        more = [("Traceparent", "00-1-2-01"), ("Connection", "keep-alive, X-Hop"), ("X-Hop", "1")]
-        await call.send("POST", "/v1/chat/completions", [*platform_headers("q1", "consulta"), *more], BODY)
+        extra_headers = [("Traceparent", "00-1-2-01"), ("Connection", "keep-alive, X-Hop"), ("X-Hop", "1")]
+        await call.send(
+            "POST", "/v1/chat/completions", [*platform_headers("q1", "consulta"), *extra_headers], BODY
+        )
         answer = await call.receive()
         assert answer.status == 200
         (headers,) = prefill_host.received
@@ -69,7 +71,7 @@
     play(prefill_host, decode_host, story=story)
 
 
-def test_forwarded_headers_keeps_unknown_fields_only() -> None:
+def test_only_unknown_header_fields_are_forwarded() -> None:
     headers = {"host": "app.svc", "req-id": "q1", "te": "trailers", "idempotency-key": KEY, "x-hop": "1"}
     assert forwarded_headers(headers) == [("idempotency-key", KEY), ("x-hop", "1")]
     assert forwarded_headers({**headers, "connection": "X-Hop"}) == [("idempotency-key", KEY)]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: one line of output for each line of input, and errors that name the field."""
+"""The simulator adapter: each line of input gets one line of output; errors name the invalid field."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
 
 
 def test_a_request_is_prefilled_and_decoded() -> None:
-    read = {
+    prefilled = {
         "op": "resolved",
         "i": "front/0",
         "handle": "h1",
@@ -89,7 +89,7 @@
         "detail": 0,
         "load": None,
     }
-    note = {
+    slot_reserved = {
         "op": "answer_ahead",
         "i": "front/0",
         "handle": "h1",
@@ -97,68 +97,70 @@
         "engine": "engine.r",
         "topic": 1,
     }
-    empty, first, second = run_batches(
-        [], [LIST_DEFINED, INSTANCE_STARTED, LIST_ANNOUNCED, REQUEST_ARRIVED], [note, read]
+    without_events, on_arrival, on_prefill = run_batches(
+        [], [LIST_DEFINED, INSTANCE_STARTED, LIST_ANNOUNCED, REQUEST_ARRIVED], [slot_reserved, prefilled]
     )
-    assert empty == []
-    assert [a["op"] for a in first] == ["remind", "remind", "assign", "pre_pair"]
-    assert [(a["op"], a["engine"]) for a in second] == [("assign", "engine.w")]
+    assert without_events == []
+    assert [action["op"] for action in on_arrival] == ["remind", "remind", "assign", "pre_pair"]
+    assert [(action["op"], action["engine"]) for action in on_prefill] == [("assign", "engine.w")]
 
 
-def test_a_page_that_is_defined_again_in_a_batch_applies_to_later_announcements() -> None:
-    newer = {**LIST_DEFINED, "nodes_list": [{**NODES[0], "engine": "engine.x"}, NODES[1]]}
-    other = {**INSTANCE_STARTED, "i": "front/1"}
+def test_redefining_a_list_in_a_batch_applies_to_later_announcements_only() -> None:
+    redefined = {**LIST_DEFINED, "nodes_list": [{**NODES[0], "engine": "engine.x"}, NODES[1]]}
+    second_instance = {**INSTANCE_STARTED, "i": "front/1"}
     actions = run_batches(
         [
             LIST_DEFINED,
             INSTANCE_STARTED,
             LIST_ANNOUNCED,
-            newer,
-            other,
+            redefined,
+            second_instance,
             {**LIST_ANNOUNCED, "i": "front/1"},
             REQUEST_ARRIVED,
             {**REQUEST_ARRIVED, "i": "front/1"},
         ]
     )[0]
-    sent = {a["i"]: a["engine"] for a in actions if a["op"] == "assign"}
-    assert sent == {"front/0": "engine.r", "front/1": "engine.x"}
+    first_hosts = {action["i"]: action["engine"] for action in actions if action["op"] == "assign"}
+    assert first_hosts == {"front/0": "engine.r", "front/1": "engine.x"}
 
 
-def test_a_killed_instance_may_start_again_in_the_same_batch() -> None:
+def test_a_killed_instance_can_start_again_in_the_same_batch() -> None:
     killed = {"op": "killed", "i": "front/0"}
-    late = {"op": "left", "i": "front/0", "handle": "h1"}
-    _, again, gone = run_batches(
+    client_left = {"op": "left", "i": "front/0", "handle": "h1"}
+    _, after_restart, after_kill = run_batches(
         [LIST_DEFINED, INSTANCE_STARTED, LIST_ANNOUNCED, REQUEST_ARRIVED],
         [killed, INSTANCE_STARTED, LIST_ANNOUNCED, {**REQUEST_ARRIVED, "handle": "h2"}],
-        [killed, late],
+        [killed, client_left],
     )
-    assert {a.get("handle") for a in again if a["op"] == "assign"} == {"h2"}
-    assert gone == []
+    assert {action.get("handle") for action in after_restart if action["op"] == "assign"} == {"h2"}
+    assert after_kill == []
 
 
-def test_the_list_is_watched_and_again_after_a_failure() -> None:
-    asks = {**INSTANCE_STARTED, "facts": {**SETTINGS_MESSAGE, "membership_mode": "subscribe"}}
-    first, second, third = run_batches(
-        [asks], [{**LIST_ANNOUNCED, "scope": "lost"}], [{"op": "elapsed", "i": "front/0", "token": "watch"}]
+def test_the_endpoint_list_is_watched_again_after_a_failure_of_discovery() -> None:
+    started_with_watch = {**INSTANCE_STARTED, "facts": {**SETTINGS_MESSAGE, "membership_mode": "subscribe"}}
+    at_start, after_failure, after_timer = run_batches(
+        [started_with_watch],
+        [{**LIST_ANNOUNCED, "scope": "lost"}],
+        [{"op": "elapsed", "i": "front/0", "token": "watch"}],
     )
-    assert [a["op"] for a in first] == ["stream_changes"]
-    assert [a["op"] for a in second] == ["remind"]
-    assert [a["op"] for a in third] == ["stream_changes"]
+    assert [action["op"] for action in at_start] == ["stream_changes"]
+    assert [action["op"] for action in after_failure] == ["remind"]
+    assert [action["op"] for action in after_timer] == ["stream_changes"]
 
 
 def test_an_exception_of_the_policy_is_reported_as_a_fault(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def broken(self: object, now: float, events: list[Event]) -> list[Action]:
+    def raise_error(self: object, now: float, events: list[Event]) -> list[Action]:
         raise ValueError("no such thing")
 
-    monkeypatch.setattr(Router, "handle", broken)
+    monkeypatch.setattr(Router, "handle", raise_error)
     (actions,) = run_batches([LIST_DEFINED, INSTANCE_STARTED, LIST_ANNOUNCED])
-    assert [(a["op"], a["msg"]) for a in actions] == [("fault", "ValueError: no such thing")]
+    assert [(action["op"], action["msg"]) for action in actions] == [("fault", "ValueError: no such thing")]
 
 
 @pytest.mark.parametrize(
-    ("line", "named"),
+    ("line", "named_in_error"),
     [
         (b"{not json", "line 1"),
         (b'{"now":1,"turn":1,"arrivals":[{"op":"nonsense"}]}', "nonsense"),
@@ -166,19 +168,21 @@
         (b'{"now":"x","turn":1,"arrivals":[]}', "now"),
     ],
 )
-def test_malformed_input_gives_one_line_on_stderr_and_a_non_zero_exit(line: bytes, named: str) -> None:
-    done = subprocess.run(
+def test_malformed_input_gives_one_line_on_stderr_and_a_non_zero_exit(
+    line: bytes, named_in_error: str
+) -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "violetstack.simulator_adapter"],
         input=line + b"\n",
         capture_output=True,
         check=False,
     )
-    assert done.returncode != 0
-    message = done.stderr.decode()
-    assert named in message
+    assert process.returncode != 0
+    message = process.stderr.decode()
+    assert named_in_error in message
     assert len(message.splitlines()) == 1
 
 
-def test_an_announcement_of_an_undefined_page_is_malformed() -> None:
+def test_an_announcement_of_an_undefined_list_is_rejected() -> None:
     with pytest.raises(MessageError, match="page 9"):
         run_batches([INSTANCE_STARTED, {**LIST_ANNOUNCED, "page": 9}])
