--- a/tests/held_state_matrix.py
+++ b/tests/held_state_matrix.py
@@ -119,7 +119,7 @@
     """Has one host of each role drain, leave the endpoint list, and return with the same id."""
     rows = [deployment.host_named(name) for name in ("r1", "w1")]
     for state in ("leaving", "left", "active"):
-        dispatcher.agent.tell(*(host.row(state) for host in rows))
+        dispatcher.agent.publish(*(host.row(state) for host in rows))
         await trio.sleep(0.2)
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -260,7 +260,7 @@
         reader, writer = hosts
         assert (await raw(on.admin, post("/admin/cordon", b"w"))).startswith(b"HTTP/1.1 200 ")
         assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "refused"
-        on.discovery.tell(writer.row())  # whatever lists say meanwhile
+        on.discovery.publish(writer.row())  # whatever lists say meanwhile
         while on.daemon.watch is None or on.daemon.watch.version != 2:
             await trio.sleep(0.001)
         assert (await ask_platform(on.platform, "q2", "consulta")).outcome == "refused"
--- a/tests/test_background_tasks.py
+++ b/tests/test_background_tasks.py
@@ -60,7 +60,7 @@
             apply_update(now, update)
 
         on.daemon.core.update_endpoints = fail_once  # type: ignore[method-assign]
-        on.discovery.tell({**decode_host.row(), "id": "w2", "addr": "127.0.0.1:1", "state": "leaving"})
+        on.discovery.publish({**decode_host.row(), "id": "w2", "addr": "127.0.0.1:1", "state": "leaving"})
         await wait_until(lambda: "w2" in on.daemon.core.draining)
         assert not failures
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "served"
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -40,7 +40,7 @@
         connects = DelayedConnects(on, role)
         call = await send_request(on, "q1")
         await connects.requested.wait()
-        on.discovery.tell(host.row(state=state))
+        on.discovery.publish(host.row(state=state))
         core = on.daemon.core
         await wait_until(lambda: role in core.draining or role not in core.endpoints)
         connects.may_complete.set()
@@ -59,7 +59,7 @@
         decode_host.acts.append(Act(pause=hold))
         call = await send_request(on, "q1")
         await call.receive(events=1)
-        on.discovery.tell(decode_host.row(state="leaving"))
+        on.discovery.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: "w" in on.daemon.core.draining)
         hold.set()
         assert (await call.receive()).outcome == "served"
@@ -76,7 +76,7 @@
         call = await send_request(on, "q1")
         # for the reservation, or for the retry of the attempt that the other host rejected
         await connects.requested.wait()
-        on.discovery.tell(other.row(state="leaving"))
+        on.discovery.publish(other.row(state="leaving"))
         await wait_until(lambda: "w2" in on.daemon.core.draining)
         connects.may_complete.set()
         await call.receive()
@@ -92,7 +92,7 @@
         connects = DelayedConnects(on, "w")
         on.daemon.upstream_driver.check_health("w")
         await connects.requested.wait()
-        on.discovery.tell(decode_host.row(state="leaving"))
+        on.discovery.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: "w" in on.daemon.core.draining)
         connects.may_complete.set()
         # the unused connection is kept
@@ -111,7 +111,7 @@
         connects = DelayedConnects(on, "w")
         call = await send_request(on, "q1")
         await connects.requested.wait()
-        on.discovery.tell(host_at_new_address.row())
+        on.discovery.publish(host_at_new_address.row())
         await wait_until(
             lambda: (
                 on.daemon.upstream_driver.pool.hosts["w"].address[1]
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/test_descriptor_exhaustion.py
@@ -125,7 +125,7 @@
         for _ in range(2 * SOCKETS):
             nursery.start_soon(stay_connected, (host, port))
         await trio.sleep(OUTAGE_S)
-        discovery.tell({**CONFIGURED_HOST, "state": "leaving"})
+        discovery.publish({**CONFIGURED_HOST, "state": "leaving"})
         discovery.down = False
         await wait_until(lambda: program.draining(CONFIGURED_HOST["id"]), BOUND_S)
         assert bool(program.events("accept_failed")) == bool(other_files)
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -59,10 +59,12 @@
     async def story(on: Stage) -> None:
         invalid = [{**prefill_host.row(), "id": name, **entry} for name, entry in INVALID_ENTRIES.items()]
         on.discovery.changes = [(1, [])] if full else on.discovery.changes
-        on.discovery.tell(*invalid, {**prefill_host.row(), "weight": 2.0}, decode_host.row())
+        on.discovery.publish(*invalid, {**prefill_host.row(), "weight": 2.0}, decode_host.row())
         if full:
             watch_of(on).request_list()
-            await wait_until(lambda: "/api/targets" in on.discovery.asked and watch_of(on).version == 2)
+            await wait_until(
+                lambda: "/api/targets" in on.discovery.request_targets and watch_of(on).version == 2
+            )
             await wait_until(lambda: not watch_of(on).reconnecting)
         await wait_until(lambda: on.daemon.core.endpoints["r"].weight == 2.0)
         assert set(on.daemon.core.endpoints) == {"r", "w"}
@@ -89,15 +91,17 @@
     async def story(on: Stage) -> None:
         known = on.daemon.core.endpoints["w"]
         address = on.daemon.upstream_driver.pool.hosts["w"].address
-        on.discovery.tell({**decode_host.row(state="leaving"), **invalid_fields})
+        on.discovery.publish({**decode_host.row(state="leaving"), **invalid_fields})
         await wait_until(lambda: "w" in on.daemon.core.draining)
         on.discovery.changes = []
-        on.discovery.tell(
+        on.discovery.publish(
             {**prefill_host.row(), "weight": 2.0, "state": "asleep"}, {**decode_host.row(), **invalid_fields}
         )
         watch_of(on).request_list()
         await wait_until(lambda: on.daemon.core.endpoints["r"].weight == 2.0)
-        await wait_until(lambda: "/api/targets" in on.discovery.asked and not watch_of(on).reconnecting)
+        await wait_until(
+            lambda: "/api/targets" in on.discovery.request_targets and not watch_of(on).reconnecting
+        )
         assert on.daemon.core.endpoints["r"].state is EndpointState.HEALTHY
         assert on.daemon.core.endpoints["w"] == known
         assert on.daemon.upstream_driver.pool.hosts["w"].address == address
@@ -110,10 +114,10 @@
     prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        on.discovery.tell(decode_host.row(state="left"), {**decode_host.row(), "weight": 2.0})
+        on.discovery.publish(decode_host.row(state="left"), {**decode_host.row(), "weight": 2.0})
         await wait_until(lambda: on.daemon.core.endpoints["w"].weight == 2.0)
         assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "served"
-        on.discovery.tell(decode_host.row(), decode_host.row(state="leaving"))
+        on.discovery.publish(decode_host.row(), decode_host.row(state="leaving"))
         await wait_until(lambda: "w" in on.daemon.core.draining)
 
     play(prefill_host, decode_host, story=story)
@@ -126,7 +130,7 @@
     async def story(on: Stage) -> None:
         await on.nursery.start(moved.serve)
         assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "served"
-        on.discovery.tell({**moved.row(), "weight": 2.0})
+        on.discovery.publish({**moved.row(), "weight": 2.0})
         await wait_until(lambda: on.daemon.core.endpoints["w"].weight == 2.0)
         assert (await ask_platform(on.platform, "q2", "consulta")).outcome == "served"
         assert (decode_host.begun, moved.begun) == (["q1"], ["q2"])
@@ -149,7 +153,7 @@
             apply_update(now, update)
 
         monkeypatch.setattr(on.daemon.core, "update_endpoints", fail_once)
-        on.discovery.tell(decode_host.row(state="leaving"))
+        on.discovery.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: "w" in on.daemon.core.draining)
 
     play(prefill_host, decode_host, story=story)
@@ -162,11 +166,11 @@
 
     async def story(on: Stage) -> None:
         on.daemon.reload(lambda: on.config(discovery=address))
-        on.discovery.tell(decode_host.row(state="leaving"))
+        on.discovery.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: "w" in on.daemon.core.draining)
         await trio.sleep(2.0 * watch.MIN_CONNECT_INTERVAL_S)  # so that it has tried the invalid address
         on.daemon.reload(on.config)
-        on.discovery.tell(decode_host.row())
+        on.discovery.publish(decode_host.row())
         await wait_until(lambda: "w" not in on.daemon.core.draining)
 
     play(prefill_host, decode_host, story=story)
@@ -243,7 +247,7 @@
     async def _drain_applied_after_s(self, nursery: trio.Nursery) -> float:
         """Ends the outage with a drain; returns how long it takes until the drain is applied."""
         self.discovery.down = False
-        self.discovery.tell({"id": "r", "addr": "10.0.0.1:80", "state": "leaving"})
+        self.discovery.publish({"id": "r", "addr": "10.0.0.1:80", "state": "leaving"})
         returned_at = trio.current_time()
         with trio.move_on_after(3.0 * BOUND_S):
             await self.draining.wait()
@@ -357,7 +361,7 @@
     async def story(on: Stage) -> None:
         draining = on.daemon.core.draining
         on.discovery.changes = [(1, [])]
-        on.discovery.tell(rows["w1"](state="leaving"))
+        on.discovery.publish(rows["w1"](state="leaving"))
         await wait_until(lambda: draining == {"w1"}, grace_ms / 1000.0)
         on.discovery.changes = [(2, [rows["w1"](state="leaving"), rows["w2"](state="leaving")])]
         watch_of(on).request_list()
@@ -370,7 +374,7 @@
             while (await ask_platform(on.platform, f"q{sent_requests}", "consulta")).outcome == "refused":
                 sent_requests += 1
                 await trio.sleep(0.01)
-        on.discovery.tell(rows["w3"](state="left"))
+        on.discovery.publish(rows["w3"](state="left"))
         await wait_until(lambda: "w3" not in on.daemon.core.endpoints, grace_ms / 1000.0)
         assert (await ask_platform(on.platform, "last", "consulta")).outcome != "served"
         assert [host.begun for host in hosts[1:]] == [[], [], [f"q{sent_requests}"]]
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -49,9 +49,9 @@
     async def story(on: Stage) -> None:
         daemon = on.daemon
         for n in range(5):
-            on.discovery.tell({**decode_host.row(), "id": f"w{n}"})
-            on.discovery.tell({**decode_host.row(state="left"), "id": f"w{n}"})
-        on.discovery.tell(decode_host.row(state="leaving"))
+            on.discovery.publish({**decode_host.row(), "id": f"w{n}"})
+            on.discovery.publish({**decode_host.row(state="left"), "id": f"w{n}"})
+        on.discovery.publish(decode_host.row(state="leaving"))
         while "w" not in daemon.core.draining:
             await trio.sleep(0.001)
         await trio.testing.wait_all_tasks_blocked()
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -120,7 +120,7 @@
                 clients.start_soon(ask, n)
             await hosts[1].until(lambda: len(hosts[1].begun) == 3)
             hosts[1].die()
-            on.discovery.tell(hosts[1].row(state="left"))
+            on.discovery.publish(hosts[1].row(state="left"))
             while "w0" in on.daemon.core.endpoints:
                 await trio.sleep(0.001)
             for offset in range(3):
@@ -133,7 +133,7 @@
         assert max((hosts[1].runs + hosts[3].runs).values()) == 1
         new_host = ModelHost("w2", "decode")
         await on.nursery.start(new_host.serve)
-        on.discovery.tell(new_host.row())
+        on.discovery.publish(new_host.row())
         while "w2" not in on.daemon.core.endpoints:
             await trio.sleep(0.001)
         n = 30
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -65,12 +65,14 @@
         new_discovery = Discovery(prefill_host.row(), other_decode_host.row())
         await on.nursery.start(new_discovery.serve)
         on.daemon.reload(lambda: on.config(discovery=new_discovery.address))
-        on.discovery.tell({**decode_host.row(), "id": "old"})  # from the former discovery, after the change
+        on.discovery.publish(
+            {**decode_host.row(), "id": "old"}
+        )  # from the former discovery, after the change
         await wait_until(lambda: "w" not in on.daemon.core.endpoints)
         assert (await ask_platform(on.platform, "q2", "orden")).outcome == "served"
         assert other_decode_host.begun == ["q2"]
         assert "old" not in on.daemon.core.endpoints
-        assert new_discovery.asked[0] == "/api/targets"
+        assert new_discovery.request_targets[0] == "/api/targets"
         resume_stream.set()
         assert (await call.receive()).whole
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -194,13 +194,13 @@
     reader, writer = pair()
 
     async def story(on: Stage) -> None:
-        on.discovery.tell(writer.row(state="leaving"))
+        on.discovery.publish(writer.row(state="leaving"))
         while "w" not in on.daemon.core.draining:
             await trio.sleep(0.001)
         on.discovery.hang_up()
-        while len(on.discovery.asked) < 2:
+        while len(on.discovery.request_targets) < 2:
             await trio.sleep(0.001)
-        assert on.discovery.asked[-1].endswith("index=2")
+        assert on.discovery.request_targets[-1].endswith("index=2")
 
     play(reader, writer, story=story)
 
@@ -303,7 +303,7 @@
     reader, writer = pair()
 
     async def story(on: Stage) -> None:
-        on.discovery.tell({**writer.row(), "id": "x", "kind": "new"}, writer.row(state="leaving"))
+        on.discovery.publish({**writer.row(), "id": "x", "kind": "new"}, writer.row(state="leaving"))
         while "w" not in on.daemon.core.draining:
             await trio.sleep(0.001)
         assert "x" not in on.daemon.core.endpoints
@@ -315,7 +315,7 @@
     monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 0.05)
 
     async def story(on: Stage) -> None:
-        while len(on.discovery.asked) < 2:
+        while len(on.discovery.request_targets) < 2:
             await trio.sleep(0.001)
 
     play(*pair(), story=story)
@@ -328,7 +328,7 @@
     async def story(on: Stage) -> None:
         for calls in range(2, 7):
             began = trio.current_time()
-            while len(on.discovery.asked) < calls:
+            while len(on.discovery.request_targets) < calls:
                 await trio.sleep(0.001)
             assert trio.current_time() - began < 0.05 + 0.25
 
@@ -426,13 +426,13 @@
 
     async def handle(self, inbound: HttpRequest, connection: PeerConnection) -> None:
         if self.status != 200:
-            self.asked.append(inbound.target)
+            self.request_targets.append(inbound.target)
             await connection.answer(self.status, [])
             return
         if not self.says:
             await super().handle(inbound, connection)
             return
-        self.asked.append(inbound.target)
+        self.request_targets.append(inbound.target)
         await connection.start(200, [])
         await connection.data(self.says)
         self.says = b""
@@ -490,7 +490,7 @@
         await on.nursery.start(discovery.serve)
         again = Daemon(on.config(discovery=discovery.address))
         serving = await on.nursery.start(again.serve)
-        while len(discovery.asked) < 2:  # it goes on asking
+        while len(discovery.request_targets) < 2:  # it goes on asking
             answer = await ask_platform(serving.platform, f"q{len(reader.begun)}", "consulta")
             assert answer.outcome == "served"
         assert set(again.core.endpoints) == {"r", "w"}
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -40,7 +40,7 @@
         if not self.scripts:
             await super().handle(inbound, connection)
             return
-        self.asked.append(inbound.target)
+        self.request_targets.append(inbound.target)
         await self.scripts.pop(0)(connection)
 
 
@@ -70,7 +70,7 @@
     assert on.daemon.watch is not None
     on.daemon.watch.address = parse_address(agent.address)
     on.discovery.hang_up()
-    await wait_until(lambda: bool(agent.asked))
+    await wait_until(lambda: bool(agent.request_targets))
     return agent
 
 
@@ -96,7 +96,7 @@
 
     async def story(on: Stage) -> None:
         on.discovery.hang_up()
-        on.discovery.tell(decode_host.row(state="leaving"))  # while no watch is open
+        on.discovery.publish(decode_host.row(state="leaving"))  # while no watch is open
         await wait_until(lambda: is_draining(on))
 
     play(prefill_host, decode_host, story=story)
@@ -111,7 +111,7 @@
 
         agent = await watch_agent(on, *[end_at_once] * 500)
         began = trio.current_time()
-        await wait_until(lambda: len(agent.asked) > 8)
+        await wait_until(lambda: len(agent.request_targets) > 8)
         assert trio.current_time() - began > 7 * watch.MIN_CONNECT_INTERVAL_S * 0.9
 
     play(*pair(), story=story)
@@ -128,7 +128,7 @@
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, *[silent] * 4)
         await wait_until(lambda: not agent.scripts)  # the fourth also stays silent; the next one is answered
-        agent.tell(decode_host.row(state="leaving"))
+        agent.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: is_draining(on), 1.0)
 
     play(prefill_host, decode_host, story=story)
@@ -159,7 +159,7 @@
         answer_now.set()
         await wait_until(lambda: on.daemon.watch is not None and not on.daemon.watch.reconnecting)
         await wait_until(lambda: on.daemon.watch is not None and on.daemon.watch.connection_count < 2)
-        agent.tell(decode_host.row(state="leaving"))
+        agent.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: is_draining(on))
         assert on.daemon.watch is not None
         assert on.daemon.watch.connection_count == 1
@@ -171,7 +171,7 @@
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, *[silent] * 500)
         max_open = 0
-        while len(agent.asked) < 12:
+        while len(agent.request_targets) < 12:
             await trio.sleep(0.001)
             max_open = max(max_open, len(agent.connections))
         assert max_open <= watch.MAX_WAITING_CONNECTIONS
@@ -198,7 +198,7 @@
             await silent(connection)
 
         agent = await watch_agent(on, sending(last, then=resume_later), *[silent] * 500)
-        await wait_until(lambda: len(agent.asked) > 3)
+        await wait_until(lambda: len(agent.request_targets) > 3)
         resume.set()  # the new connections hang as well, and the stalled one resumes
         await wait_until(lambda: is_draining(on))
         opened = agent.opened
@@ -206,7 +206,7 @@
         assert (agent.opened, len(agent.connections)) == (opened, 1)
         agent.scripts.clear()  # now it stalls again, and a new connection sends a list
         agent.version = 2
-        agent.tell(decode_host.row())
+        agent.publish(decode_host.row())
         await wait_until(lambda: not is_draining(on))
         await wait_until(lambda: len(agent.connections) == 1)
 
@@ -223,7 +223,7 @@
                 await trio.sleep(0.01)
 
         agent = await watch_agent(on, sending(b'\n{"version":2,', then=trickle))
-        agent.tell(decode_host.row(state="leaving"))
+        agent.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: is_draining(on))
 
     play(prefill_host, decode_host, story=story)
@@ -244,7 +244,7 @@
                 await connection.data(b" " * watch.RECEIVE_BYTES)
 
         agent = await watch_agent(on, *[sending(first, then=flood)] * floods)
-        agent.tell(decode_host.row(state="leaving"))
+        agent.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: is_draining(on), 2.0)
 
     play(prefill_host, decode_host, story=story)
@@ -260,16 +260,18 @@
     async def story(on: Stage) -> None:
         new = Agent(prefill_host.row(), decode_host.row(), scripts=(silent,) * 3)
         await on.nursery.start(new.serve)
-        on.discovery.tell(decode_host.row(state="leaving"))  # still unread when the configuration is reloaded
+        on.discovery.publish(
+            decode_host.row(state="leaving")
+        )  # still unread at the reload
         on.daemon.reload(lambda: on.config(discovery=new.address))
         await wait_until(lambda: is_draining(on))
         await wait_until(
             lambda: not new.scripts
         )  # then it answers, and its complete list replaces the old one
         await wait_until(lambda: not is_draining(on))
-        assert set(new.asked[:4]) == {"/api/targets"}
-        on.discovery.tell(prefill_host.row(state="leaving"))
-        new.tell(decode_host.row(state="leaving"))
+        assert set(new.request_targets[:4]) == {"/api/targets"}
+        on.discovery.publish(prefill_host.row(state="leaving"))
+        new.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: is_draining(on))
         assert not is_draining(on, "r")
 
@@ -282,7 +284,7 @@
 
     async def story(on: Stage) -> None:
         agent = Agent(prefill_host.row(), decode_host.row())
-        agent.tell(decode_host.row(state="leaving"))
+        agent.publish(decode_host.row(state="leaving"))
 
         async def send_later(connection: PeerConnection) -> None:
             await trio.testing.wait_all_tasks_blocked()
@@ -331,8 +333,8 @@
         agent = await watch_agent(
             on, sending(b'\n{"version":2,"servers":7}\n', then=send_later), *[silent] * 500
         )
-        await wait_until(lambda: len(agent.asked) > 3)
-        assert set(agent.asked[1:]) == {"/api/targets"}
+        await wait_until(lambda: len(agent.request_targets) > 3)
+        assert set(agent.request_targets[1:]) == {"/api/targets"}
         send_change.set()
         await wait_until(lambda: is_draining(on))
 
@@ -344,9 +346,9 @@
 
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, sending(b"what\n"))
-        agent.tell(decode_host.row(state="leaving"))
+        agent.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: is_draining(on))
-        assert agent.asked[1] == "/api/targets"
+        assert agent.request_targets[1] == "/api/targets"
 
     play(prefill_host, decode_host, story=story)
 
@@ -367,7 +369,7 @@
 
     async def story(on: Stage) -> None:
         agent = await watch_agent(on, sending(b"\n", change))
-        agent.tell(decode_host.row(state="leaving"))
+        agent.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: is_draining(on))
         assert on.daemon.core.endpoints.keys() == {"r", "w"}
 
@@ -384,9 +386,9 @@
             list_message(2, decode_host.row(state="leaving")),
         ]
         agent = await watch_agent(on, sending(b"\n", *changes))
-        agent.tell(decode_host.row(state="leaving"))
+        agent.publish(decode_host.row(state="leaving"))
         await wait_until(lambda: is_draining(on))
-        assert agent.asked[1] == "/api/targets"
+        assert agent.request_targets[1] == "/api/targets"
 
     play(prefill_host, decode_host, story=story)
 
@@ -398,8 +400,8 @@
 
         agent = await watch_agent(on, sending(b"what\n"), *[send_invalid_list] * 500)
         with pytest.raises(AssertionError, match="condition did not hold"):
-            await wait_until(lambda: len(agent.asked) > 8, 1.0)
-        assert len(agent.asked) >= 3
+            await wait_until(lambda: len(agent.request_targets) > 8, 1.0)
+        assert len(agent.request_targets) >= 3
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "served"
 
     play(*pair(), story=story)
@@ -410,7 +412,7 @@
 
     async def story(on: Stage) -> None:
         invalid_entry = {**decode_host.row(), "id": "x", "cell": "three"}
-        on.discovery.tell(invalid_entry, decode_host.row(state="leaving"))
+        on.discovery.publish(invalid_entry, decode_host.row(state="leaving"))
         await wait_until(lambda: is_draining(on))
         assert "x" not in on.daemon.core.endpoints
 
--- a/violetstack/rehearsal/discovery.py
+++ b/violetstack/rehearsal/discovery.py
@@ -18,10 +18,10 @@
         super().__init__()
         self.version = 1
         self.changes: list[tuple[int, list[dict[str, Any]]]] = [(1, list(rows))]
-        self.asked: list[str] = []  # the target of each request
+        self.request_targets: list[str] = []  # the target of each request
         self._changed = trio.Event()
 
-    def tell(self, *rows: dict[str, Any]) -> None:
+    def publish(self, *rows: dict[str, Any]) -> None:
         """Publish changed entries as the next version of the list."""
         self.version += 1
         self.changes.append((self.version, list(rows)))
@@ -35,7 +35,7 @@
         await connection.answer(200, [("Content-Type", "application/json")], orjson.dumps(message))
 
     async def handle(self, inbound: HttpRequest, connection: PeerConnection) -> None:
-        self.asked.append(inbound.target)
+        self.request_targets.append(inbound.target)
         if inbound.target == "/api/targets":
             await self.answer_complete_list(connection)
             return
--- a/violetstack/rehearsal/fleet/campaign_environment.py
+++ b/violetstack/rehearsal/fleet/campaign_environment.py
@@ -54,14 +54,14 @@
             case _:
                 host.state = "leaving"
                 for agent in self._state.all_agents:
-                    agent.tell(host.row())
+                    agent.publish(host.row())
                 await trio.sleep(event.duration_s)
 
     async def _inject_discovery_fault(self, event: EnvironmentEvent) -> None:
         agent = self._state.agents[event.target]
         if event.fault is EnvironmentFault.DISCOVERY_COMPLETE_LISTS:
             for _ in range(int(event.duration_s / COMPLETE_LIST_INTERVAL_S)):
-                agent.tell_complete(self._state.endpoint_list())
+                agent.publish_complete_list(self._state.endpoint_list())
                 await trio.sleep(COMPLETE_LIST_INTERVAL_S)
             return
         if event.fault is EnvironmentFault.DISCOVERY_RESET:
--- a/violetstack/rehearsal/fleet/fault_injection.py
+++ b/violetstack/rehearsal/fleet/fault_injection.py
@@ -133,4 +133,4 @@
                 await self._state.nursery.start(successor.serve)
                 rows.append(successor.row(time.time() * 1000.0))
         for agent in self._state.agents:
-            agent.tell(*rows)
+            agent.publish(*rows)
--- a/violetstack/rehearsal/fleet/network.py
+++ b/violetstack/rehearsal/fleet/network.py
@@ -97,19 +97,19 @@
         self.changes = [(version, rows)]
         self.complete = {version}
 
-    def tell(self, *rows: dict[str, Any]) -> None:
+    def publish(self, *rows: dict[str, Any]) -> None:
         """Counts as told now, whether or not the dispatcher reads: the agent writes at once."""
-        super().tell(*rows)
+        super().publish(*rows)
         self.news.set()
         self.news = trio.Event()
         for row in rows if not self.mode else ():
             if row["state"] != "active":
                 self.drains.setdefault((self.number, str(row["id"])), self.now())
 
-    def tell_complete(self, rows: list[dict[str, Any]]) -> None:
+    def publish_complete_list(self, rows: list[dict[str, Any]]) -> None:
         """Sends the complete list once more."""
         self.complete.add(self.version + 1)
-        self.tell(*rows)
+        self.publish(*rows)
 
 
 class Relay:
--- a/violetstack/rehearsal/scenarios.py
+++ b/violetstack/rehearsal/scenarios.py
@@ -90,7 +90,7 @@
 
 async def drain(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
     """The only decode host drains: the next request is rejected rather than sent to it."""
-    on.discovery.tell(decode_host.row(state="leaving"))
+    on.discovery.publish(decode_host.row(state="leaving"))
     while decode_host.name not in on.daemon.core.draining:
         await trio.sleep(0.001)
     answer = await ask_platform(on.platform, "d1", "consulta")
@@ -149,7 +149,7 @@
     other = ModelHost("other", "decode")
     discovery = Discovery()
     await on.nursery.start(other.serve)
-    discovery.tell(prefill_host.row(), other.row())
+    discovery.publish(prefill_host.row(), other.row())
     await on.nursery.start(discovery.serve)
     on.daemon.reload(lambda: on.config(discovery=discovery.address))
     while decode_host.name in on.daemon.core.endpoints:
