--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -260,9 +260,7 @@
     async def story(on: Stage) -> None:
         new = Agent(prefill_host.row(), decode_host.row(), scripts=(silent,) * 3)
         await on.nursery.start(new.serve)
-        on.discovery.publish(
-            decode_host.row(state="leaving")
-        )  # still unread at the reload
+        on.discovery.publish(decode_host.row(state="leaving"))  # still unread at the reload
         on.daemon.reload(lambda: on.config(discovery=new.address))
         await wait_until(lambda: is_draining(on))
         await wait_until(
