--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -162,7 +162,7 @@
     for words in ((), ("serve",), ("rehearse",), ("demo",), ("config",), ("config", "fmt")):
         assert "Usage:" in run(*words, "--help").output
     told = run("rehearse", "nothing")
-    assert told.exit_code == 2 and "no story named nothing" in told.output
+    assert told.exit_code == 2 and "no scenario named nothing" in told.output
     assert run("--version").exit_code == 0
 
 
--- a/violetstack/commands/__init__.py
+++ b/violetstack/commands/__init__.py
@@ -1,8 +1,8 @@
-"""Owns the command line: `violetstack serve|rehearse|demo|config`, on click.
+"""The command line `violetstack serve|rehearse|demo|config|fleet|level|state`, built with click.
 
-Each command reads its arguments, calls the package that does the work and turns what comes back into text
-and an exit status. Nothing here is loaded by the plain `python -m violetstack` of the deploy file.
+Each command parses its arguments, calls the package that does the work, and converts the result to text and
+an exit status. The plain `python -m violetstack` of the deploy file loads nothing of this package.
 
-Exit statuses, for every command: 0 all is well; 1 something was found (warnings, differences, a file that
-is not laid out, a story that did not come out); 2 errors in a file or in the arguments.
+Exit statuses of every command: 0 success; 1 a finding (warnings, differences, a file that is not formatted,
+a scenario whose checks failed); 2 errors in a file or in the arguments.
 """
--- a/violetstack/commands/admin_client.py
+++ b/violetstack/commands/admin_client.py
@@ -1,4 +1,4 @@
-"""A client of the admin API, for commands that call several dispatchers."""
+"""A client of the admin API, for commands that call one or more dispatchers."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
     """
 
     def __init__(self, address: str, reason: str) -> None:
-        """Keep the address and the reason; the text has both."""
+        """Store the address and the reason; the message has both."""
         super().__init__(f"{address}: {reason}")
         self.address = address
         self.reason = reason
 
 
 class AdminUnreachableError(AdminClientError):
-    """There was no response, or none that could be read."""
+    """There was no response, or it could not be decoded."""
 
 
 class AdminCallRejectedError(AdminClientError):
-    """The response was an error.
+    """The dispatcher responded with an error.
 
     Attributes:
-        status: Its HTTP status.
+        status: The HTTP status of the response.
     """
 
     def __init__(self, address: str, status: int, reason: str) -> None:
-        """Keep the status as well."""
+        """Store the HTTP status as well."""
         super().__init__(address, reason)
         self.status = status
 
@@ -53,7 +53,7 @@
 
 
 class AdminClient:
-    """Calls the admin API of one dispatcher, each time on a connection of its own.
+    """Calls the admin API of one dispatcher, with a new connection for each call.
 
     Every method raises AdminUnreachableError or AdminCallRejectedError.
     """
@@ -63,11 +63,11 @@
         self.address = address
 
     def check_health(self) -> None:
-        """Return if the dispatcher accepts client requests."""
+        """Check that the dispatcher accepts client requests; raise if it does not."""
         self._call("GET", "/admin/health")
 
     def leases(self) -> LeasesResponse:
-        """Return the leases as the dispatcher knows them."""
+        """Return the leases, as the dispatcher knows them."""
         body = self._call("GET", "/admin/duties")
         try:
             return msgspec.json.decode(body, type=LeasesResponse)
@@ -75,7 +75,7 @@
             raise AdminUnreachableError(self.address, str(error)) from None
 
     def resign(self, lease_name: str) -> None:
-        """Take a lease from the dispatcher."""
+        """Make the dispatcher resign a lease."""
         self._call("POST", "/admin/resign", lease_name)
 
     def request_restart(self) -> None:
--- a/violetstack/commands/fleet.py
+++ b/violetstack/commands/fleet.py
@@ -1,4 +1,4 @@
-"""`violetstack fleet`: the lease holders of a tier, and its rolling restart, over the admin API."""
+"""`violetstack fleet`: a tier's lease holders and its rolling restart, over the admin API."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
     """A dispatcher got no permit to restart."""
 
     def __init__(self, address: str, reason: str) -> None:
-        """Say what kept the permit from it."""
+        """Store the address, and the reason why no permit was granted."""
         super().__init__(address, f"no permit: {reason}")
 
 
 @click.group()
 def fleet() -> None:
-    """Look after a tier of dispatchers over their admin API (`duties` in the operator's file).
+    """Manage a tier of dispatchers over their admin API (`duties` in the operator's file).
 
     \b
     Examples:
@@ -55,7 +55,7 @@
 def who(addresses: tuple[str, ...]) -> None:
     """Show the lease holders, as the dispatcher at each ADDRESS knows them.
 
-    Exit status 1 if one does not answer, or two claim a lease.
+    Exit status 1 if a dispatcher does not respond, or if two claim the same lease.
     """
     problems = False
     claimed_by = dict[str, int]()
@@ -102,26 +102,30 @@
 def resign(address: str, name: str) -> None:
     """Take the lease NAME from the dispatcher at ADDRESS.
 
-    The dispatcher leaves it to others for two lease durations.
+    For two lease durations, the dispatcher does not try to acquire it again.
     """
     try:
         AdminClient(address).resign(name)
     except AdminClientError as error:
         raise click.ClickException(str(error)) from None
-    click.echo(f"{address}: {name} goes to others")
+    click.echo(f"{address}: resigned {name}")
 
 
 @fleet.command()
 @ADDRESSES
 @click.option(
-    "--within", "timeout_s", default=60.0, show_default=True, help="Seconds for each, permit included."
+    "--within",
+    "timeout_s",
+    default=60.0,
+    show_default=True,
+    help="Seconds for each dispatcher, including the wait for a permit.",
 )
 @click.option("--dry-run", is_flag=True, help="Only show the order, and whether each dispatcher serves.")
 def roll(addresses: tuple[str, ...], timeout_s: float, dry_run: bool) -> None:
     """Restart the dispatchers at the ADDRESSes one after another, each with a permit of the tier.
 
-    A supervisor has to start each again once it has ended. If a dispatcher gets no permit or does not come
-    back, those after it are not restarted (exit status 1).
+    A supervisor has to start each dispatcher again after it has exited. If one gets no permit or does not
+    come back, those after it are not restarted (exit status 1).
     """
     for index, address in enumerate(addresses):
         try:
@@ -168,7 +172,7 @@
         except AdminUnreachableError:
             return
         except AdminCallRejectedError:
-            pass  # it still finishes requests
+            pass  # it is still finishing requests
         if time.monotonic() >= deadline:
             raise RestartError(client.address, "did not end")
         time.sleep(POLL_S)
--- a/violetstack/commands/level.py
+++ b/violetstack/commands/level.py
@@ -1,4 +1,4 @@
-"""`violetstack level show|history|pin|unpin`: the levels of reduced service, over the daemon's socket."""
+"""`violetstack level show|history|pin|unpin`: levels of reduced service, over the daemon's level socket."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 MS_PER_MINUTE = 60_000.0
 NO_ANSWER_EXIT_STATUS = 2
 SOCKET = click.option(
-    "--socket", "path", required=True, help="The daemon's `admin` socket, of its file's levels."
+    "--socket", "path", required=True, help="The daemon's level socket: `admin` in the operator's file."
 )
 
 
 @click.group()
 def level() -> None:
-    """Look at the level of reduced service, and pin it."""
+    """Show the level of reduced service, and pin it."""
 
 
 @level.command()
 @SOCKET
-@click.option("--json", "as_json", is_flag=True, help="All of it, for programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print the whole status as JSON, for programs.")
 def show(path: str, as_json: bool) -> None:
-    """The level, since when, every signal, and what would change it."""
+    """Show the level, its age, every signal, and the conditions that would change the level."""
     status = _request(path, do="show")
     if as_json:
         click.echo(json.dumps(status, indent=1))
@@ -40,7 +40,7 @@
 @level.command()
 @SOCKET
 def history(path: str) -> None:
-    """The last changes with their causes, the newest first."""
+    """List the last changes and their causes, newest first."""
     for change in _request(path, do="history")["changes"]:
         at = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(change["at"]))
         click.echo(f"{at}  {change['old']} -> {change['level']}: {change['cause']}")
@@ -55,10 +55,10 @@
     type=click.FloatRange(0.1, 10_000),
     default=60.0,
     show_default=True,
-    help="Minutes; then the signals decide again.",
+    help="Minutes until the signals decide again.",
 )
 def pin(name: str, path: str, minutes: float) -> None:
-    """Keep the level NAME in force, whatever the signals say."""
+    """Keep the level NAME in force, regardless of the signals."""
     status = _request(path, do="pin", level=name, for_ms=minutes * MS_PER_MINUTE, by=getpass.getuser())
     _print_status(status)
 
--- a/violetstack/commands/main.py
+++ b/violetstack/commands/main.py
@@ -1,4 +1,4 @@
-"""The `violetstack` command."""
+"""The `violetstack` command and its subcommands `serve`, `rehearse` and `demo`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from violetstack.commands.level import level
 from violetstack.commands.state import state
 
-CONTEXT = {"help_option_names": ["-h", "--help"], "max_content_width": 100}
+CONTEXT_SETTINGS = {"help_option_names": ["-h", "--help"], "max_content_width": 100}
 
 
 def _version() -> str:
@@ -25,19 +25,19 @@
         return "from the source tree"
 
 
-@click.group(context_settings=CONTEXT, epilog="Exit status: 0 well, 1 something found, 2 errors.")
+@click.group(context_settings=CONTEXT_SETTINGS, epilog="Exit status: 0 success, 1 findings, 2 errors.")
 @click.version_option(_version(), prog_name="violetstack")
 def main() -> None:
     """A dispatcher for two-stage LLM serving.
 
     \b
     Examples:
-      violetstack demo                              see it work, with stand-in hosts
+      violetstack demo                              try it with simulated hosts
       violetstack config check deploy/operator.violet
       violetstack serve examples/operator.violet
       violetstack rehearse cut order
 
-    Shell completion: eval "$(_VIOLETSTACK_COMPLETE=bash_source violetstack)"; zsh and fish alike.
+    Shell completion: eval "$(_VIOLETSTACK_COMPLETE=bash_source violetstack)"; likewise for zsh and fish.
     """
 
 
@@ -54,20 +54,20 @@
     "form",
     type=click.Choice(["auto", "json", "text"]),
     default="auto",
-    help="Form of the log; auto is text on a terminal.",
+    help="Log format; auto is text on a terminal, else json.",
 )
 def serve(file: str | None, form: str) -> None:
-    """Serve what FILE, NODE_CONFIG or both tell.
+    """Run the dispatcher as configured by FILE, NODE_CONFIG or both.
 
-    NODE_CONFIG's settings, where it is set, count over the file's classes, kinds and limits. SIGHUP reads
-    both again; SIGTERM finishes what was taken, then ends.
+    If NODE_CONFIG is set, its settings override the classes, kinds and limits of FILE. SIGHUP reloads both;
+    SIGTERM finishes the accepted requests and then exits.
 
     \b
     Examples:
       violetstack serve examples/operator.violet
       NODE_CONFIG=/run/balancer/config.json violetstack serve deploy/operator.violet
     """
-    from violetstack import log  # noqa: PLC0415 - only what a command needs is loaded
+    from violetstack import log  # noqa: PLC0415 - each command loads only what it needs
     from violetstack.daemon.process import serve as run  # noqa: PLC0415
 
     if form == "text" or (form == "auto" and sys.stdout.isatty()):
@@ -77,14 +77,22 @@
 
 @main.command()
 @click.argument("stories", nargs=-1)
-@click.option("--quiet", is_flag=True, help="Without the dispatcher's log lines.")
-@click.option("--json", "as_json", is_flag=True, help="Of a fleet's plan or a case of faults: a JSON object.")
-@click.option("--seeds", default="1", show_default=True, help="Cases of faults: 7, 1-200 or 1,5-9.")
-@click.option("--jobs", default=1, show_default=True, help="Cases of faults at the same time.")
-@click.option("--processes", default=24, show_default=True, help="Dispatchers of a soak.")
-@click.option("--minutes", default=1.0, show_default=True, help="Load of each seed of a soak.")
-@click.option("--shrink", "shrinks", is_flag=True, help="Of a soak: which troubles a broken seed needs.")
-@click.option("--duration", "duration_s", default=4.0, show_default=True, help="Seconds of a case's load.")
+@click.option("--quiet", is_flag=True, help="Omit the dispatcher's log lines.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="Print a fleet plan's or a fault case's result as a JSON object."
+)
+@click.option(
+    "--seeds", default="1", show_default=True, help="Seeds of fault cases and soaks: 7, 1-200 or 1,5-9."
+)
+@click.option("--jobs", default=1, show_default=True, help="Fault cases to run at the same time.")
+@click.option("--processes", default=24, show_default=True, help="Dispatcher processes of a soak.")
+@click.option("--minutes", default=1.0, show_default=True, help="Minutes of load for each seed of a soak.")
+@click.option(
+    "--shrink", "shrinks", is_flag=True, help="For a failing seed of a soak, find the faults that it needs."
+)
+@click.option(
+    "--duration", "duration_s", default=4.0, show_default=True, help="Seconds of load in a fault case."
+)
 def rehearse(
     stories: tuple[str, ...],
     *,
@@ -97,16 +105,18 @@
     shrinks: bool,
     duration_s: float,
 ) -> None:
-    """Play STORIES (all by default) with scripted peers, and tell what came; or a fleet's PLAN.
+    """Run the scenarios STORIES (all by default) with scripted peers; or a fleet plan, fault cases or soaks.
 
-    A plan starts a fleet of dispatcher processes on loopback addresses and strikes it with troubles. It
-    tells a line each half second, the time to whole service, and the rules that were broken.
+    `fleet PLAN` starts a fleet of dispatcher processes on loopback addresses and injects the plan's faults.
+    It reports one line each half second, the time to full service, and the rules that were violated.
 
-    FAULTS starts dispatchers with settings and faults that are drawn from each seed, and judges what clients
-    and hosts saw: a line a case, the requests for which a rule was broken, and the pairs of faults that met.
+    `faults` starts dispatchers with settings and faults drawn from each seed, and checks what clients and
+    hosts observed. It reports one line for each case, the requests for which a rule was violated, and
+    the pairs of faults that overlapped.
 
-    SOAK does the same with more dispatchers and for longer; troubles overlap, system calls fail, clocks step
-    and logs stall. The dispatchers' own invariants count beside what was seen from outside.
+    `soak` does the same with more dispatchers and for longer; faults overlap, system calls fail, clocks step
+    and log output stalls. It checks the dispatchers' own invariants as well as what clients
+    and hosts observed.
 
     \b
     Examples:
@@ -117,7 +127,7 @@
       violetstack rehearse soak --seeds 1-20 --processes 24 --minutes 1
     """
     if stories[:1] == ("fleet",):
-        sys.exit(_fleet(stories[1:], as_json))
+        sys.exit(_run_plans(stories[1:], as_json))
     if stories[:1] == ("faults",):
         from violetstack.commands.faults import parse_seeds, run_faults  # noqa: PLC0415
 
@@ -127,44 +137,51 @@
         from violetstack.commands.soak import run_soak  # noqa: PLC0415
 
         sys.exit(run_soak(parse_seeds(seeds), processes, minutes, shrinks=shrinks))
-    sys.exit(_stories(stories, quiet))
+    sys.exit(_run_scenarios(stories, quiet))
 
 
-def _stories(stories: tuple[str, ...], quiet: bool) -> int:
-    """1 if a story came out otherwise than it should."""
-    from violetstack.rehearsal import scenarios as played  # noqa: PLC0415
+def _run_scenarios(stories: tuple[str, ...], quiet: bool) -> int:
+    """Run scenarios; return 1 if a check failed."""
+    from violetstack.rehearsal import scenarios  # noqa: PLC0415
 
-    unknown = [name for name in stories if name not in played.STORIES]
+    unknown = [name for name in stories if name not in scenarios.STORIES]
     if unknown:
-        raise click.UsageError(f"no story named {', '.join(unknown)}; there are {', '.join(played.STORIES)}")
-    return played.rehearse(stories or tuple(played.STORIES), quiet)
+        raise click.UsageError(
+            f"no scenario named {', '.join(unknown)}; known: {', '.join(scenarios.STORIES)}"
+        )
+    return scenarios.rehearse(stories or tuple(scenarios.STORIES), quiet)
+
 
+def _run_plans(plans: tuple[str, ...], as_json: bool) -> int:
+    """Run fleet plans.
 
-def _fleet(plans: tuple[str, ...], as_json: bool) -> int:
-    """1 if a rule was broken, a dispatcher crashed or the stand-ins fell behind."""
+    Returns 1 if a rule was violated, a dispatcher crashed or the simulated hosts fell behind, else 0.
+    """
     from violetstack.rehearsal.fleet import plan, report  # noqa: PLC0415
     from violetstack.rehearsal.fleet.runner import play  # noqa: PLC0415
 
     if not plans:
-        raise click.UsageError("rehearse fleet needs the file of a plan; benchmarks/fleet/ has some")
-    good = True
+        raise click.UsageError("rehearse fleet requires a plan file, for example one in benchmarks/fleet/")
+    succeeded = True
     for name in plans:
         try:
             result = play(plan.read(Path(name).read_text()))
         except (OSError, plan.BadPlan) as error:
             raise click.ClickException(f"{name}: {error}") from None
         click.echo(msgspec.json.encode(result).decode() if as_json else report.told(result))
-        good = good and not (result.breaches or result.crashed or result.void)
-    return 0 if good else 1
+        succeeded = succeeded and not (result.breaches or result.crashed or result.void)
+    return 0 if succeeded else 1
 
 
 @main.command()
-@click.option("--port", default=8080, show_default=True, help="Where the chat front listens; 0 is any.")
-@click.option("--once", is_flag=True, help="Ask one question and end, instead of staying for curl.")
+@click.option("--port", default=8080, show_default=True, help="Port of the chat front; 0 picks a free one.")
+@click.option(
+    "--once", is_flag=True, help="Send one question, then exit instead of serving further requests."
+)
 def demo(port: int, once: bool) -> None:
-    """Start a dispatcher with stand-in readers and writers, and ask it a streamed question.
+    """Start a dispatcher with simulated prefill and decode hosts, and stream the answer to a question.
 
-    It shows which route, pool and hosts served the answer, and stays until Ctrl-C.
+    Shows which route, pool and hosts served the answer, and runs until Ctrl-C.
     """
     from violetstack.rehearsal.demo import run  # noqa: PLC0415
 
--- a/violetstack/commands/soak.py
+++ b/violetstack/commands/soak.py
@@ -1,4 +1,4 @@
-"""`violetstack rehearse soak`: plays seeds of the soak and reports a line for each."""
+"""`violetstack rehearse soak`: runs seeds of the soak test and prints one line for each."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 def run_soak(seeds: list[int], processes: int, minutes: float, *, shrinks: bool) -> int:
-    """Plays the seeds one after the other.
+    """Runs the seeds one after the other.
 
-    Returns 1 if a rule was broken, a dispatcher crashed, nothing was judged or too many seeds were void.
+    Returns 1 if a rule was violated, a dispatcher crashed, no seed got a verdict or too many seeds were void.
     """
     try:
         shim = build_shim()
     except ShimNotBuiltError as error:
-        click.echo(f"without failing system calls and clock steps: {error}")
+        click.echo(f"system call failures and clock steps are not injected: {error}")
         shim = None
     totals = SoakTotals()
     for seed in seeds:
         plan = SoakPlan(seed, processes, minutes * SECONDS_PER_MINUTE, shim)
         try:
             result = play_soak(plan)
-        except Exception as error:  # a fault of the rehearsal costs the seed its verdict, not the whole run
+        except Exception as error:  # a failure of the rehearsal itself only makes this seed void
             click.echo(f"seed {seed}: void, the rehearsal failed: {_root_cause(error)!r}")
             totals.add_void(seed)
             continue
@@ -54,7 +54,7 @@
 
 
 def is_broken(result: CaseResult) -> bool:
-    """Whether the auditor, the dispatchers' own checks or an exit status tell of a fault."""
+    """Whether the auditor, the dispatchers' own invariants or an exit status reports a fault."""
     return bool(result.violations or result.invariants or result.crashed)
 
 
@@ -63,7 +63,7 @@
 
 
 class SoakTotals:
-    """What all seeds came to."""
+    """The totals over all seeds."""
 
     def __init__(self) -> None:
         self.judged = 0
@@ -77,16 +77,16 @@
         self._by_invariant: Counter[str] = Counter()
 
     def add_void(self, seed: int) -> None:
-        """Counts a seed that the rehearsal could not play."""
+        """Counts a seed that the rehearsal could not run."""
         self._void.append(seed)
 
     @property
     def too_many_void(self) -> bool:
-        """Whether so many seeds have no verdict that the rest says little."""
+        """Whether the share of seeds without a verdict exceeds `MAX_VOID_SHARE`."""
         return len(self._void) > MAX_VOID_SHARE * (self.judged + len(self._void))
 
     def add(self, result: CaseResult) -> None:
-        """Counts one seed."""
+        """Counts the result of one seed."""
         self._requests += result.requests
         self._attempts += result.attempts
         self._pairs.update(result.pairs)
@@ -97,17 +97,17 @@
         self.judged += 1
         if is_broken(result):
             self.broken.append(result.seed)
-        self._by_rule.update(each.rule for each in result.violations)
+        self._by_rule.update(violation.rule for violation in result.violations)
         self._by_invariant.update(result.invariants)
         self._by_rule["crash"] += len(result.crashed)
 
     def describe(self, processes: int) -> str:
-        """The last line of the report."""
+        """Describes the totals in one line, the last of the report."""
         rules = " ".join(f"{rule}={count}" for rule, count in sorted(self._by_rule.items()) if count)
-        inside = " ".join(f"{rule}={count}" for rule, count in sorted(self._by_invariant.items()))
+        invariants = " ".join(f"{rule}={count}" for rule, count in sorted(self._by_invariant.items()))
         return (
             f"{self.judged} seeds judged, {processes} processes each, {self._requests} requests, "
             f"{self._attempts} attempts, {len(self._pairs)} pairs and {len(self._triples)} triples met; "
-            f"violations seen from outside: {rules or 'none'}; by the dispatchers: {inside or 'none'}; "
+            f"violations seen from outside: {rules or 'none'}; by the dispatchers: {invariants or 'none'}; "
             f"broken: {list_seeds(self.broken)}; void: {list_seeds(self._void)}"
         )
--- a/violetstack/commands/state.py
+++ b/violetstack/commands/state.py
@@ -1,4 +1,4 @@
-"""`violetstack state`: inspects the folder with a dispatcher's stored state; only `prune` changes it."""
+"""`violetstack state`: inspects the directory of a dispatcher's stored state; only `prune` changes it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @click.group()
 def state() -> None:
-    r"""Look at the state that a dispatcher stores for its next start (`state` in the operator's file).
+    r"""Inspect the state that a dispatcher stores for its next start (`state` in the operator's file).
 
     \b
     Examples:
@@ -35,7 +35,7 @@
 @state.command()
 @FOLDER
 def show(folder: str) -> None:
-    """Show what a start would read from FOLDER."""
+    """Show the state that a dispatcher would read from FOLDER at its start."""
     from violetstack.net.state_directory import StateDirectory
     from violetstack.state.store import recover
 
@@ -50,7 +50,7 @@
 @state.command()
 @FOLDER
 def verify(folder: str) -> None:
-    """Check FOLDER: exit status 1 if a part of it cannot be read, 2 if nothing can."""
+    """Check FOLDER: exit status 1 if a part of it cannot be read, 2 if none of it can."""
     from violetstack.net.state_directory import StateDirectory
     from violetstack.state.store import generations, recover
 
@@ -66,7 +66,7 @@
 @state.command()
 @FOLDER
 def export(folder: str) -> None:
-    """Print what a start would read from FOLDER, as one JSON object."""
+    """Print the state that a dispatcher would read from FOLDER at its start, as one JSON object."""
     from violetstack.net.state_directory import StateDirectory
     from violetstack.state.store import recover
 
@@ -77,7 +77,7 @@
 @state.command()
 @FOLDER
 def prune(folder: str) -> None:
-    """Remove files in FOLDER that no start would read; not while its dispatcher runs."""
+    """Remove files in FOLDER that no start would read. Do not run this while the dispatcher runs."""
     from violetstack.net.state_directory import StateDirectory
     from violetstack.state.store import TEMPORARY_NAME, obsolete_files, recover
 
