--- a/tests/frozen_hosts.py
+++ b/tests/frozen_hosts.py
@@ -173,7 +173,7 @@
     async def _handle_attempt(self, inbound: HttpRequest, connection: PeerConnection) -> None:
         request_id = inbound.headers["req-id"]
         script = self._get_script(request_id)
-        self.begun.append(request_id)
+        self.received_ids.append(request_id)
         behaviour = script.next_prefill_behaviour() if self.kind == "prefill" else script.decode
         if behaviour is HostBehaviour.NEVER_BEGINS:
             await connection.until_closed()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -244,7 +244,10 @@
         metrics = await stats(on)
         assert metrics["operations"]["orden"] == {"fulfilled": 1, "throttled": 0, "faulted": 2}
         assert metrics["operations"]["consulta"] == {"fulfilled": 1, "throttled": 0, "faulted": 0}
-        assert (metrics["open_requests"], metrics["relayed"]) == (1, len(reader.begun) + len(writer.begun))
+        assert (metrics["open_requests"], metrics["relayed"]) == (
+            1,
+            len(reader.received_ids) + len(writer.received_ids),
+        )
         assert (metrics["registry_entries"], metrics["out_of_rotation"]) == (2, 0)
         await raw(on.admin, post("/admin/cordon", b"w"))
         assert (await stats(on))["out_of_rotation"] == 1
@@ -271,7 +274,7 @@
             while (await ask_platform(on.platform, f"b{n}", "consulta")).outcome != "served":
                 n += 1
                 await trio.sleep(0.05)
-        assert "q1" not in reader.begun + writer.begun  # nobody could write it, so nobody read it
+        assert "q1" not in reader.received_ids + writer.received_ids  # no decode host could take it
 
     hosts = pair()
     play(*hosts, story=story)
--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -127,7 +127,7 @@
         await slow_prefill_host.may_read.wait()
         await trio.testing.wait_all_tasks_blocked(0.05)
         assert slow_prefill_host.received < len(text)
-        assert (answer.outcome, slow_prefill_host.begun) == ("served", ["q1"])
+        assert (answer.outcome, slow_prefill_host.received_ids) == ("served", ["q1"])
 
     play(slow_prefill_host, decode_host, story=story)
 
@@ -182,6 +182,6 @@
             await trio.sleep(0.005)
         assert answers[0].status in (500, 503)
         assert decode_host.runs.total() == 0
-        assert len(decode_host.begun) <= 1 or idempotency != "non_idempotent"
+        assert len(decode_host.received_ids) <= 1 or idempotency != "non_idempotent"
 
     play(prefill_host, decode_host, story=story, settings=settings)
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -80,7 +80,7 @@
         answer = await raw(address, request(*lines, body=body, chat=chat))
         assert answer.startswith(f"HTTP/1.1 {status} ".encode())
         assert answer.count(b"HTTP/1.1") == 1
-        assert not prefill_host.begun
+        assert not prefill_host.received_ids
 
     play(prefill_host, decode_host, story=story)
     out = capfd.readouterr().out
@@ -102,7 +102,7 @@
 
     async def story(on: Stage) -> None:
         assert (await ask_platform(on.platform, "q1", "consulta", **changes)).status == 400
-        assert not prefill_host.begun
+        assert not prefill_host.received_ids
 
     play(prefill_host, decode_host, story=story)
 
@@ -131,7 +131,7 @@
 
     async def story(on: Stage) -> None:
         assert (await ask_platform(on.platform, "q1", "consulta", **changes)).status == 200
-        assert prefill_host.begun
+        assert prefill_host.received_ids
 
     play(prefill_host, decode_host, story=story)
 
@@ -176,7 +176,7 @@
     async def story(on: Stage) -> None:
         sent = request(LENGTH).replace(PATH.encode(), b"/state/q1")
         assert (await raw(on.platform, sent)).startswith(b"HTTP/1.1 404")
-        assert not prefill_host.calls + decode_host.calls + prefill_host.begun
+        assert not prefill_host.calls + decode_host.calls + prefill_host.received_ids
 
     play(prefill_host, decode_host, story=story)
 
--- a/tests/test_bad_hosts.py
+++ b/tests/test_bad_hosts.py
@@ -31,7 +31,7 @@
         assert chat.outcome == "served"  # a consulta may be retried
         again = await ask_platform(on.platform, "q2", "consulta")
         assert (again.outcome, again.events[-1]) == ("served", b"[DONE]")
-        assert decode_host.begun.count("q1") == 1
+        assert decode_host.received_ids.count("q1") == 1
         assert decode_host.opened >= 3  # a connection with a malformed response is not reused
 
     play(prefill_host, decode_host, story=story)
@@ -85,7 +85,7 @@
         for n in range(4):
             answer = await ask_platform(on.platform, f"q{n}", "orden")
             assert answer.outcome == "served" and b"data: [DONE]" in answer.body
-        assert prefill_host.begun == decode_host.begun == ["q0", "q1", "q2", "q3"]
+        assert prefill_host.received_ids == decode_host.received_ids == ["q0", "q1", "q2", "q3"]
         endpoints = on.daemon.router.state.endpoints.by_name.values()
         shares = [endpoint.statistics.memory.share for endpoint in endpoints]
         assert shares == [None, None]
@@ -105,7 +105,7 @@
 
     async def story(on: Stage) -> None:
         assert (await ask_platform(on.platform, "q1", "consulta")).status == 500
-        assert prefill_host.begun == ["q1"]
+        assert prefill_host.received_ids == ["q1"]
         endpoint = on.daemon.router.state.endpoints.by_name["r"]
         assert endpoint.statistics.consecutive_failures == 0
         await trio.testing.wait_all_tasks_blocked()
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -200,7 +200,7 @@
             retried = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers(key))
             assert (retried.status, retried.headers["x-should-retry"]) == (502, "false")
             assert "retry-after" not in retried.headers
-        assert len(decode_host.begun) == 1
+        assert len(decode_host.received_ids) == 1
 
     play(prefill_host, decode_host, story=story, chat=with_idempotency_store(tmp_path))
 
@@ -222,12 +222,12 @@
     async def expect_failure(on: Stage) -> None:
         with pytest.raises(openai.APIStatusError) as error:
             await trio.to_thread.run_sync(send, on, "k1")
-        assert (error.value.status_code, len(resetting_host.begun)) == (502, 1)
+        assert (error.value.status_code, len(resetting_host.received_ids)) == (502, 1)
 
     async def expect_success(on: Stage) -> None:
         answer = await trio.to_thread.run_sync(send, on, "k2")
         assert answer.choices[0].finish_reason == "stop"
-        assert (len(rejecting_host.begun), sum(rejecting_host.runs.values())) == (3, 1)
+        assert (len(rejecting_host.received_ids), sum(rejecting_host.runs.values())) == (3, 1)
 
     play(resetting_host, story=expect_failure, chat=with_idempotency_store(tmp_path / "a"))
     play(rejecting_host, story=expect_success, chat=with_idempotency_store(tmp_path / "b"))
@@ -268,7 +268,7 @@
         answer = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
         assert orjson.loads(answer.events[-1])["error"]["code"] == "stream_broken"
         retried = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
-        assert (retried.status, len(host.begun)) == (502, 1)
+        assert (retried.status, len(host.received_ids)) == (502, 1)
 
     play(host, story=story, chat=with_idempotency_store(tmp_path))
 
@@ -296,7 +296,7 @@
                 ).status == 409:
                     pass
                 assert later.outcome == "served"
-        assert second_host.begun == []
+        assert second_host.received_ids == []
 
     trio.run(main)
 
@@ -317,7 +317,7 @@
                 ).status == 409:
                     await trio.sleep(0.05)
                 assert retry.json["error"]["code"] == "order_may_have_run"
-                assert new_hosts[1].begun == []
+                assert new_hosts[1].received_ids == []
 
     trio.run(main)
 
@@ -378,11 +378,11 @@
         holds_lease = on.daemon.fronts.idempotency.holds_lease
         on.daemon.fronts.idempotency.holds_lease = lambda: False  # type: ignore[method-assign]
         answer = await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))
-        assert (answer.status, prefill_host.begun, decode_host.begun) == (503, [], [])
+        assert (answer.status, prefill_host.received_ids, decode_host.received_ids) == (503, [], [])
         on.daemon.fronts.idempotency.holds_lease = holds_lease  # type: ignore[method-assign]
         while (retry := await ask_chat(on.chat, chat_body(KEYED_MODEL), chat_headers("k1"))).status == 409:
             await trio.sleep(0.01)
-        assert retry.outcome == "served" and len(decode_host.begun) == 1
+        assert retry.outcome == "served" and len(decode_host.received_ids) == 1
 
     play(prefill_host, decode_host, story=story, chat=with_idempotency_store(tmp_path))
 
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -124,14 +124,14 @@
         core = on.daemon.core
         call = await connect(on.chat)
         await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body("giro-orden"))
-        await wait_until(lambda: len(decode_host.begun) == 1)
+        await wait_until(lambda: len(decode_host.received_ids) == 1)
         await call.stream.aclose()
         await wait_until(lambda: any(request.client_disconnected for request in core.open_requests.values()))
         await trio.sleep(0.2)
         assert core.open_requests  # it continues, so that a retry finds its result
         gate.set()
         await wait_until(lambda: not core.open_requests)
-        assert (len(prefill_host.begun), len(decode_host.begun)) == (1, 1)
+        assert (len(prefill_host.received_ids), len(decode_host.received_ids)) == (1, 1)
 
     play(
         prefill_host, decode_host, story=story, chat=with_idempotency_store(tmp_path), settings=KEYED_SETTINGS
@@ -154,7 +154,7 @@
         await wait_until(lambda: not core.open_requests)
         connects.may_complete.set()
         await trio.testing.wait_all_tasks_blocked()
-        assert (len(prefill_host.begun), decode_host.begun) == (1, [])
+        assert (len(prefill_host.received_ids), decode_host.received_ids) == (1, [])
 
     play(
         prefill_host, decode_host, story=story, chat=with_idempotency_store(tmp_path), settings=KEYED_SETTINGS
@@ -245,7 +245,7 @@
         await first.receive(events=2)
         second = await send_request(on, "q2", "consulta", Req_Retry="again")
         answer = await second.receive()
-        assert (answer.outcome, decode_host.begun) == ("served", ["q1", "q2"])
+        assert (answer.outcome, decode_host.received_ids) == ("served", ["q1", "q2"])
         assert not first.answer.whole
         gate.set()
         assert (await first.receive()).body == answer.body  # each stream comes from its own call
@@ -266,7 +266,7 @@
         assert (await second.receive()).outcome == "served"
         await wait_until(lambda: not core.open_requests)
         # the first request is not retried
-        assert [len(prefill_host.begun), len(decode_host.begun)] == [2, 2]
+        assert [len(prefill_host.received_ids), len(decode_host.received_ids)] == [2, 2]
         gate.set()
 
     play(prefill_host, decode_host, story=story)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -84,7 +84,7 @@
         await call.send("POST", "/v1/chat/completions", platform_headers("q1", "orden"), BODY)
         assert (await call.receive()).outcome == "refused"  # it was read, so it must be answered
         assert await call.stream.receive_some(100) == b""
-        assert (prefill_host.begun, on.daemon.core.open_requests) == ([], {})
+        assert (prefill_host.received_ids, on.daemon.core.open_requests) == ([], {})
 
     play(prefill_host, decode_host, story=story)
 
@@ -137,7 +137,7 @@
         await wait_until(lambda: all(request.done for request in core.open_requests.values()), 0.3)
         connects.may_complete.set()
         await wait_until(lambda: not core.open_requests)
-        begun = [name for name in request_ids if name in host.begun]
+        begun = [name for name in request_ids if name in host.received_ids]
         assert (begun, [host_call for host_call in host.calls if host_call[0] == "POST"]) == ([], [])
 
     play(prefill_host, decode_host, story=story, settings={"limits": {**LIMITS, "cancel": cancel}})
@@ -159,7 +159,7 @@
         client.close()  # no await in between: the dispatcher has not run since the connection was made
         assert (await ask_platform(on.platform, "q2", "consulta")).status == 200
         await wait_until(lambda: not on.daemon.core.open_requests)
-        assert prefill_host.begun == ["q2"]
+        assert prefill_host.received_ids == ["q2"]
 
     play(prefill_host, decode_host, story=story)
     assert capfd.readouterr().out.count('"event":"request"') == 1
@@ -190,7 +190,7 @@
         call.stream.socket.close()  # type: ignore[attr-defined]
         connects.may_complete.set()
         await wait_until(lambda: not on.daemon.core.open_requests)
-        assert (prefill_host.begun, decode_host.begun) == ([], [])
+        assert (prefill_host.received_ids, decode_host.received_ids) == ([], [])
         assert not connection.lifecycle.closed
 
     play(prefill_host, decode_host, story=story)
@@ -202,7 +202,7 @@
 
     async def story(on: Stage) -> None:
         call = await send_request(on, "q1")
-        await wait_until(lambda: prefill_host.begun == ["q1"])
+        await wait_until(lambda: prefill_host.received_ids == ["q1"])
         await call.stream.send_all(b"x" * 300_000)
         await call.stream.aclose()
         await wait_until(lambda: not on.daemon.core.open_requests, 0.3)
@@ -216,7 +216,7 @@
 
     async def story(on: Stage) -> None:
         call = await send_request(on, "q1")
-        await wait_until(lambda: prefill_host.begun == ["q1"])
+        await wait_until(lambda: prefill_host.received_ids == ["q1"])
         await call.stream.send_all(b"x" * 3_000_000)
         connection = next(iter(c for c in on.daemon.listeners[0].table.connections if c.lifecycle.answering))
         assert connection.http.unread <= connection_reader.MAX_UNREAD_BYTES + connection_reader.READ_SIZE
@@ -281,17 +281,17 @@
     async def story(on: Stage) -> None:
         call = await connect(on.chat)
         await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body("giro-orden"))
-        await wait_until(lambda: len(decode_host.begun) == 1)
+        await wait_until(lambda: len(decode_host.received_ids) == 1)
         await call.stream.aclose()
         await wait_until(
             lambda: any(request.client_disconnected for request in on.daemon.core.open_requests.values())
         )
         gate.set()
         await wait_until(lambda: not on.daemon.core.open_requests)
-        assert (len(prefill_host.begun), len(decode_host.begun)) == (1, 1)
+        assert (len(prefill_host.received_ids), len(decode_host.received_ids)) == (1, 1)
         while (again := await ask_chat(on.chat, chat_body("giro-orden"), chat_headers("k1"))).status == 409:
             await trio.sleep(0.01)  # the record's change is on its way to the disk
-        assert (again.outcome, len(decode_host.begun)) == ("served", 2)
+        assert (again.outcome, len(decode_host.received_ids)) == ("served", 2)
 
     play(prefill_host, decode_host, story=story, chat=with_idempotency_store(tmp_path))
 
@@ -306,17 +306,17 @@
     async def story(on: Stage) -> None:
         call = await connect(on.chat)
         await call.send("POST", "/v1/chat/completions", chat_headers("k1"), chat_body("giro-orden"))
-        await wait_until(lambda: len(prefill_host.begun) == 1)
+        await wait_until(lambda: len(prefill_host.received_ids) == 1)
         await call.stream.aclose()
         await wait_until(lambda: all(request.done for request in on.daemon.core.open_requests.values()), 0.3)
         gate.set()
         await wait_until(lambda: not on.daemon.core.open_requests)
         assert (
-            len(decode_host.begun),
+            len(decode_host.received_ids),
             [host_call for host_call in decode_host.calls if host_call[0] == "POST"][1:],
         ) == (0, [])
         while (again := await ask_chat(on.chat, chat_body("giro-orden"), chat_headers("k1"))).status == 409:
             await trio.sleep(0.01)  # the record's change is on its way to the disk
-        assert (again.outcome, len(decode_host.begun)) == ("served", 1)
+        assert (again.outcome, len(decode_host.received_ids)) == ("served", 1)
 
     play(prefill_host, decode_host, story=story, chat=with_idempotency_store(tmp_path))
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -45,7 +45,7 @@
         await wait_until(lambda: role in core.draining or role not in core.endpoints)
         connects.may_complete.set()
         answer = await call.receive()
-        assert (answer.outcome, host.begun) == ("refused", [])
+        assert (answer.outcome, host.received_ids) == ("refused", [])
         assert [host_call for host_call in host.calls if host_call[0] == "POST"] == []
 
     play(prefill_host, decode_host, story=story)
@@ -80,7 +80,10 @@
         await wait_until(lambda: "w2" in on.daemon.core.draining)
         connects.may_complete.set()
         await call.receive()
-        assert (other.begun, [host_call for host_call in other.calls if host_call[0] == "POST"]) == ([], [])
+        assert (other.received_ids, [host_call for host_call in other.calls if host_call[0] == "POST"]) == (
+            [],
+            [],
+        )
 
     play(prefill_host, decode_host, other, story=story)
 
@@ -120,7 +123,7 @@
         )
         connects.may_complete.set()
         assert (await call.receive()).outcome == "served"
-        assert (decode_host.begun, host_at_new_address.begun) == ([], ["q1"])
+        assert (decode_host.received_ids, host_at_new_address.received_ids) == ([], ["q1"])
 
     play(prefill_host, decode_host, story=story)
 
@@ -138,7 +141,7 @@
 
     async def story(on: Stage) -> None:
         call = await send_request(on, "q1")
-        await wait_until(lambda: decode_host.begun == ["q1"])
+        await wait_until(lambda: decode_host.received_ids == ["q1"])
         again = DelayedConnects(on, "w")
         gate.set()  # the attempt fails after the request's last byte
         await again.requested.wait()
@@ -147,7 +150,9 @@
             on.daemon.core.open_requests["q1"].first_execution_at -= 5000.0
         again.may_complete.set()
         answer = await call.receive()
-        assert (answer.outcome, len(decode_host.begun)) == (("refused", 1) if window_ended else ("served", 2))
+        assert (answer.outcome, len(decode_host.received_ids)) == (
+            ("refused", 1) if window_ended else ("served", 2)
+        )
 
     family = {**SETTINGS["family_info"], "ahead": False}
     settings = {"classes": [SETTINGS["classes"][0], KEYED], "family_info": family}
@@ -180,7 +185,7 @@
 
         pool.wait_caught_up = close_idle_connections
         answer = await ask_platform(on.platform, "q2", "orden")
-        assert (answer.outcome, prefill_host.begun, decode_host.begun) == (
+        assert (answer.outcome, prefill_host.received_ids, decode_host.received_ids) == (
             "served",
             ["q1", "q2"],
             ["q1", "q2"],
@@ -201,7 +206,7 @@
         # closes the connection after the request's last byte
         decode_host.acts.append(Act(events=0, breaks=True))
         answer = await ask_platform(on.platform, "q1", kind)
-        assert (answer.status, decode_host.begun) == (
+        assert (answer.status, decode_host.received_ids) == (
             (500, ["q1"]) if kind == "orden" else (200, ["q1", "q1"])
         )
 
@@ -239,7 +244,7 @@
     async def story(on: Stage) -> None:
         decode_host._sockets[0].socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_RCVBUF, 4096)
         answer = await ask_platform(on.platform, "q1", "orden", text="x" * 200_000)
-        assert (answer.outcome, decode_host.begun, decode_host.opened) == ("served", ["q1"], 2)
+        assert (answer.outcome, decode_host.received_ids, decode_host.opened) == ("served", ["q1"], 2)
         assert [entry.status.value for entry in attempt_logs["q1"]] == ["read", "connect_failed", "ok"]
 
     attempt_logs: dict[str, list[AttemptLogEntry]] = {}
@@ -260,7 +265,7 @@
     async def play(self, act: Act, inbound: HttpRequest, connection: PeerConnection) -> None:
         if self.first is None:
             self.first = connection
-        elif self.begun.count("q2") == 1 and not act.silent:
+        elif self.received_ids.count("q2") == 1 and not act.silent:
             await self.first.raw(SECOND_RESPONSE)
         await super().play(act, inbound, connection)
 
@@ -276,9 +281,9 @@
     async def story(on: Stage) -> None:
         await ask_platform(on.platform, "q1", "orden")
         call = await send_request(on, "q2")
-        await wait_until(lambda: prefill_host.begun == ["q1", "q2"])
+        await wait_until(lambda: prefill_host.received_ids == ["q1", "q2"])
         await trio.testing.wait_all_tasks_blocked()
-        assert decode_host.begun == ["q1"]  # q2 is not prefilled yet
+        assert decode_host.received_ids == ["q1"]  # q2 is not prefilled yet
         gate.set()
         assert (await call.receive()).outcome == "served"
 
@@ -323,7 +328,7 @@
         gate = trio.Event()
         prefill_host.acts.append(Act(before=gate))
         call = await send_request(on, "q1")
-        await wait_until(lambda: prefill_host.begun == ["q1"])
+        await wait_until(lambda: prefill_host.received_ids == ["q1"])
         connects = DelayedConnects(on, "r")
         on.daemon.upstream_driver.pool.hosts.pop("w")  # leaves one host for the release
         request = core.open_requests["q1"]
@@ -353,7 +358,9 @@
         next(connect for connect in connects.values() if connect.requested.is_set()).may_complete.set()
         released = ("DELETE", "q1")
         await wait_until(lambda: released in prefill_host.calls + other.calls + decode_host.calls)
-        assert len(prefill_host.begun) + len(other.begun) == 1  # the next attempt is not sent yet
+        assert (
+            len(prefill_host.received_ids) + len(other.received_ids) == 1
+        )  # the next attempt is not sent yet
         for connect in connects.values():
             connect.may_complete.set()
         assert (await call.receive()).outcome == "served"
--- a/tests/test_crossings_shutdown.py
+++ b/tests/test_crossings_shutdown.py
@@ -103,7 +103,7 @@
     async def story(on: Stage) -> None:
         connects = DelayedConnects(on, "w")
         call = await send_request(on, "q1")
-        await wait_until(lambda: prefill_host.begun == ["q1"])
+        await wait_until(lambda: prefill_host.received_ids == ["q1"])
         await connects.requested.wait()
         on.daemon.stop.set()
         await trio.testing.wait_all_tasks_blocked()
@@ -163,7 +163,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(partial(ask, "q1", "orden"))
             nursery.start_soon(partial(ask, "q2", "consulta"))
-            await wait_until(lambda: len(decode_host.begun) >= 2)
+            await wait_until(lambda: len(decode_host.received_ids) >= 2)
             on.daemon.stop.set()
         assert sorted(answers) == [500, 503]
 
--- a/tests/test_discovery_recovery.py
+++ b/tests/test_discovery_recovery.py
@@ -70,7 +70,7 @@
         assert set(on.daemon.core.endpoints) == {"r", "w"}
         for n in range(3):
             assert (await ask_platform(on.platform, f"q{n}", "consulta")).outcome == "served"
-        assert (len(prefill_host.begun), len(decode_host.begun)) == (3, 3)
+        assert (len(prefill_host.received_ids), len(decode_host.received_ids)) == (3, 3)
 
     play(prefill_host, decode_host, story=story)
     lines = [json.loads(line) for line in capfd.readouterr().out.splitlines()]
@@ -133,7 +133,7 @@
         on.discovery.publish({**moved.row(), "weight": 2.0})
         await wait_until(lambda: on.daemon.core.endpoints["w"].weight == 2.0)
         assert (await ask_platform(on.platform, "q2", "consulta")).outcome == "served"
-        assert (decode_host.begun, moved.begun) == (["q1"], ["q2"])
+        assert (decode_host.received_ids, moved.received_ids) == (["q1"], ["q2"])
 
     play(prefill_host, decode_host, story=story)
 
@@ -377,7 +377,7 @@
         on.discovery.publish(rows["w3"](state="left"))
         await wait_until(lambda: "w3" not in on.daemon.core.endpoints, grace_ms / 1000.0)
         assert (await ask_platform(on.platform, "last", "consulta")).outcome != "served"
-        assert [host.begun for host in hosts[1:]] == [[], [], [f"q{sent_requests}"]]
+        assert [host.received_ids for host in hosts[1:]] == [[], [], [f"q{sent_requests}"]]
 
     state = {"state": {"folder": str(tmp_path / "state"), "doubt": 0.5}}
     play(*hosts, story=story, settings=settings, chat=state)
--- a/tests/test_fault_findings.py
+++ b/tests/test_fault_findings.py
@@ -137,7 +137,7 @@
             with trio.fail_after(3.0):
                 answer = await call.receive()
         assert answer.status in (429, 503)
-        assert prefill.begun == []
+        assert prefill.received_ids == []
 
     trio.run(story)
 
@@ -150,12 +150,12 @@
         prefill = ModelHost("r0", "prefill", Act(status=202, before=begin))
         async with dispatcher_process(prefill, ModelHost("w0", "decode")) as process:
             call = await process.send_request("q1")
-            await prefill.until(lambda: prefill.begun == ["q1"])
+            await prefill.until(lambda: prefill.received_ids == ["q1"])
             await call.stream.send_all(await _request_bytes(process, "q2"))
             await trio.sleep(0.2)
             begin.set()
             with trio.fail_after(3.0):
-                await prefill.until(lambda: "q2" in prefill.begun)
+                await prefill.until(lambda: "q2" in prefill.received_ids)
                 received = b""
                 while received.count(b"0\r\n\r\n") < 1 or b"[DONE]" not in received:
                     received += await call.stream.receive_some(4096)
@@ -184,7 +184,7 @@
             await trio.sleep(0.5)
             ended.set()
             with trio.fail_after(3.0):
-                await prefill.until(lambda: prefill.begun == ["q1", "q2"])
+                await prefill.until(lambda: prefill.received_ids == ["q1", "q2"])
             left_ms = 1800.0 - (trio.current_time() - sent_at) * 1000.0
         assert prefill.deadlines_ms[1] <= left_ms + 150.0
 
@@ -210,7 +210,7 @@
             with trio.fail_after(2.0):
                 told = await call.stream.receive_some(64)
         assert told.startswith(b"HTTP/1.1 503")
-        assert decode.begun == ["q1"]
+        assert decode.received_ids == ["q1"]
 
     trio.run(story)
 
@@ -238,7 +238,7 @@
             await trio.sleep(0.1)
             faults.stop_failing(SystemCall.RECV)
             with trio.fail_after(3.0):
-                await prefill.until(lambda: prefill.begun == ["q1", "q2"])
+                await prefill.until(lambda: prefill.received_ids == ["q1", "q2"])
             left_ms = 1400.0 - (trio.current_time() - sent_at) * 1000.0
         assert prefill.deadlines_ms[1] <= left_ms + 150.0
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -411,7 +411,7 @@
         assert sorted(served) == sorted(["q0", "first", "late", "again", *(f"n{n}" for n in range(5))])
         # `late` may have ended before the migration.
         assert platform.logged(predecessor, "stopped")[0]["migrated_streams"] >= 1
-        assert decode_host.begun.count("q0") == 1
+        assert decode_host.received_ids.count("q0") == 1
         stats = orjson.loads((await raw(admin, get("/admin/stats"))).partition(b"\r\n\r\n")[2])
         assert stats["operations"]["orden"] == {"fulfilled": 1, "throttled": 0, "faulted": 0}
         assert stats["open_requests"] == 0
@@ -447,7 +447,7 @@
         n = 0
         while (await ask_platform(platform.address, f"q{n}", "consulta")).outcome != "served":
             n += 1  # `r` is treated as warming up and gets few requests at first
-        assert hosts[1].begun == []
+        assert hosts[1].received_ids == []
 
     run_processes(tmp_path, *hosts, scenario=scenario)
 
@@ -511,7 +511,7 @@
         )
         call = await connect(platform.address)
         await call.send("POST", "/v1/chat/completions", platform_headers("q0", "orden"), BODY)
-        await decode_host.until(lambda: decode_host.begun == ["q0"])
+        await decode_host.until(lambda: decode_host.received_ids == ["q0"])
         process.send_signal(signal.SIGTERM)
         stopped_at = trio.current_time()
         assert (await call.receive()).status == 500
@@ -656,7 +656,7 @@
             await trio.sleep(0.1 if reply == "none" else 0)  # past REPLY_TIMEOUT_S
             resume_stream.set()
             assert (await call.receive()).whole
-        assert (sender.migrated, decode_host.begun) == (0, ["q0"])
+        assert (sender.migrated, decode_host.received_ids) == (0, ["q0"])
         assert stage.daemon.core.metrics.classes[1].fulfilled == 1
 
     play(prefill_host, decode_host, story=scenario)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -61,9 +61,9 @@
         for n in range(4):
             assert (await ask_platform(on.platform, f"q{n}", "consulta")).outcome == "served"
         assert (await ask_chat(on.chat, chat_body("giro-consulta"))).outcome == "served"
-        assert not hosts[2].begun and not hosts[3].begun and len(hosts[1].begun) == 5
+        assert not hosts[2].received_ids and not hosts[3].received_ids and len(hosts[1].received_ids) == 5
         assert (await ask_chat(on.chat, chat_body("giro-consulta", "x" * 1700))).outcome == "served"
-        assert len(hosts[3].begun) == 1
+        assert len(hosts[3].received_ids) == 1
         long_body = await ask_chat(on.chat, chat_body("giro-consulta", "x" * 3000))
         assert (long_body.status, long_body.json["error"]["code"]) == (413, "body_too_long")
         longer_body = await ask_chat(on.chat, chat_body("giro-consulta", "x" * 200_000, n=1))
@@ -92,7 +92,7 @@
         assert answer.status == 404
         chat = await ask_chat(on.chat, chat_body("giro-consulta"))
         assert (chat.status, chat.json["error"]["code"]) == (404, "no_route")
-        assert not any(host.begun for host in hosts)
+        assert not any(host.received_ids for host in hosts)
 
     route = "route orders { when = class == orden pool = near policy = small }\n"
     text = FILE[: FILE.index("route short")] + route
@@ -118,7 +118,7 @@
         async with trio.open_nursery() as clients:
             for n in range(3):
                 clients.start_soon(ask, n)
-            await hosts[1].until(lambda: len(hosts[1].begun) == 3)
+            await hosts[1].until(lambda: len(hosts[1].received_ids) == 3)
             hosts[1].die()
             on.discovery.publish(hosts[1].row(state="left"))
             while "w0" in on.daemon.core.endpoints:
@@ -129,7 +129,7 @@
         assert {outcomes[f"q{n}"] for n in range(3)} <= {"cut", "failed"}
         later = [outcomes[f"q{n}"] for n in range(3, 30)]
         assert set(later) <= {"served", "refused"} and later.count("served") >= 20
-        assert len(hosts[3].begun) == later.count("served")
+        assert len(hosts[3].received_ids) == later.count("served")
         assert max((hosts[1].runs + hosts[3].runs).values()) == 1
         new_host = ModelHost("w2", "decode")
         await on.nursery.start(new_host.serve)
@@ -137,7 +137,7 @@
         while "w2" not in on.daemon.core.endpoints:
             await trio.sleep(0.001)
         n = 30
-        while not new_host.begun:  # only after the recovery delay
+        while not new_host.received_ids:  # only after the recovery delay
             await ask(n)
             n += 1
         assert outcomes[f"q{n - 1}"] == "served"
@@ -162,7 +162,7 @@
         routing = on.daemon.routing
         assert routing is not None and [generation.open_requests for generation in routing.previous] == [4]
         assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "served"
-        assert hosts[3].begun == ["q1"] and len(hosts[1].begun) == 4
+        assert hosts[3].received_ids == ["q1"] and len(hosts[1].received_ids) == 4
         hold.set()
         for call in calls:
             assert (await call.receive()).outcome == "served"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -70,7 +70,7 @@
         )  # from the former discovery, after the change
         await wait_until(lambda: "w" not in on.daemon.core.endpoints)
         assert (await ask_platform(on.platform, "q2", "orden")).outcome == "served"
-        assert other_decode_host.begun == ["q2"]
+        assert other_decode_host.received_ids == ["q2"]
         assert "old" not in on.daemon.core.endpoints
         assert new_discovery.request_targets[0] == "/api/targets"
         resume_stream.set()
--- a/tests/test_requests_are_answered.py
+++ b/tests/test_requests_are_answered.py
@@ -106,7 +106,7 @@
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"), request("q2"), request("q3"))
         assert await client.receive_answers(3) == [200, 200, 200]
-        assert decode_host.begun == ["q1", "q2", "q3"]
+        assert decode_host.received_ids == ["q1", "q2", "q3"]
         await client.stream.aclose()
 
     play(prefill_host, decode_host, story=story)
@@ -119,7 +119,7 @@
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"))
-        await wait_until(lambda: decode_host.begun == ["q1"])
+        await wait_until(lambda: decode_host.received_ids == ["q1"])
         await client.send(request("q2"))
         connection = next(iter(on.daemon.listeners[0].table.connections))
         await wait_until(lambda: connection.http.unread > 0)
@@ -164,7 +164,7 @@
         EvictingRead(await connection_of(on), b"q1")
         await client.send(request("q1"), request("q2"))
         assert await client.receive_to_end() == [503, 503]
-        assert (prefill_host.begun, client.reset) == ([], False)
+        assert (prefill_host.received_ids, client.reset) == ([], False)
         await wait_until(lambda: not on.daemon.listeners[0].table.connections)
 
     play(prefill_host, decode_host, story=story)
@@ -217,7 +217,7 @@
         client.stream.socket._sock.send(request("q1") + request("q2"))
         client.stream.socket.shutdown(socket.SHUT_WR)
         assert await client.receive_to_end() == [503, 503]
-        assert (prefill_host.begun, client.reset) == ([], False)
+        assert (prefill_host.received_ids, client.reset) == ([], False)
 
     play(prefill_host, decode_host, story=story)
 
@@ -236,11 +236,11 @@
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
         await client.send(request("q1", kind=kind))
-        await wait_until(lambda: host.begun == ["q1"])
+        await wait_until(lambda: host.received_ids == ["q1"])
         await client.stream.send_eof()
         assert await client.receive_to_end() == [status]
         await wait_until(lambda: not on.daemon.core.open_requests)
-        assert len(prefill_host.begun) + len(decode_host.begun) == 1 + at_decode_host
+        assert len(prefill_host.received_ids) + len(decode_host.received_ids) == 1 + at_decode_host
 
     play(prefill_host, decode_host, story=story)
 
@@ -256,7 +256,7 @@
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"), request("q2"))
-        await wait_until(lambda: prefill_host.begun == ["q1"])
+        await wait_until(lambda: prefill_host.received_ids == ["q1"])
         on.daemon.stop.set()
         await wait_until(lambda: on.daemon.listeners[0].draining)
         gate.set()
@@ -286,7 +286,7 @@
         assert await client.receive_to_end() == [200]
         assert client.received.endswith(b"\r\n0\r\n\r\n")
         assert connection.lifecycle.closed or connection.has_unread()
-        assert prefill_host.begun == ["q1"]
+        assert prefill_host.received_ids == ["q1"]
 
     play(prefill_host, decode_host, story=story)
 
@@ -319,7 +319,7 @@
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"), request("q2"), request("q3"))
         assert await client.receive_to_end() == [503, 503, 503]
-        assert prefill_host.begun == []
+        assert prefill_host.received_ids == []
 
     play(prefill_host, decode_host, story=story)
 
@@ -340,7 +340,7 @@
         await wait_until(lambda: connection.http.unread > 7 * len(LARGE))
         gate.set()
         assert await client.receive_answers(8) == [200] * 8
-        assert decode_host.begun == names
+        assert decode_host.received_ids == names
         await client.stream.aclose()
 
     play(prefill_host, decode_host, story=story)
@@ -359,7 +359,7 @@
         # The last one has no other behind it, and is accepted as usual.
         assert statuses == [200] * PIPELINE_BURST + [503] * 3 + [200]
         assert trio.current_time() - began > 3 * PIPELINE_DELAY_S
-        assert len(decode_host.begun) == PIPELINE_BURST + 1
+        assert len(decode_host.received_ids) == PIPELINE_BURST + 1
         await client.stream.aclose()
 
     play(prefill_host, decode_host, story=story)
@@ -374,7 +374,7 @@
         await client.receive_answers(1)
         await client.stream.aclose()
         await wait_until(lambda: not on.daemon.listeners[0].table.connections)
-        assert len(decode_host.begun) <= PIPELINE_BURST + 1
+        assert len(decode_host.received_ids) <= PIPELINE_BURST + 1
 
     play(prefill_host, decode_host, story=story)
 
@@ -626,7 +626,7 @@
         client = await RawClient.connect(on.platform)
         began = trio.current_time()
         await client.send(request("q1"), request("q2"))
-        await wait_until(lambda: prefill_host.begun == ["q1"])
+        await wait_until(lambda: prefill_host.received_ids == ["q1"])
         await trio.sleep(0.1)
         unread_bytes = trio.current_time()
         await client.send(request("q3"))
@@ -761,7 +761,7 @@
         context.verify_mode = ssl.CERT_NONE
         call = await connect(on.chat, context)
         await call.stream.send_all(request_bytes + request_bytes[:50])
-        await wait_until(lambda: len(prefill_host.begun) == 1)
+        await wait_until(lambda: len(prefill_host.received_ids) == 1)
         await call.stream.send_all(request_bytes[50:-5])
         gate.set()
         client = RawClient(call.stream)
@@ -790,7 +790,7 @@
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"))
-        await wait_until(lambda: prefill_host.begun == ["q1"])
+        await wait_until(lambda: prefill_host.received_ids == ["q1"])
         await client.send(b"x" * unread_bytes)
         if close_kind == "reset":
             reset(client.stream)
@@ -858,7 +858,7 @@
 
         client = await RawClient.connect(on.platform)
         await client.send(request("q1"))
-        await wait_until(lambda: prefill_host.begun == ["q1"])
+        await wait_until(lambda: prefill_host.received_ids == ["q1"])
         monkeypatch.setattr(trio.SocketListener, "accept", fail_once)
         await RawClient.connect(on.platform)  # the current accept takes it, and the next one fails
         await wait_until(lambda: bool(failed))
--- a/tests/test_shutdown_deadlines.py
+++ b/tests/test_shutdown_deadlines.py
@@ -144,7 +144,7 @@
         await wait_until(lambda: any(connection.http.busy for connection in listener.table.connections))
         stop_as_if_signaled(on, schedule.close_silent_s)
         assert b" 503 " in await read_until_closed(call.stream)
-        assert prefill_host.begun == []
+        assert prefill_host.received_ids == []
 
     play(prefill_host, decode_host, story=story, settings=settings_with_timeout(300.0))
 
@@ -177,7 +177,7 @@
 
     prefill_host, decode_host = pair()
     play(prefill_host, decode_host, story=story)
-    assert prefill_host.begun == []
+    assert prefill_host.received_ids == []
 
 
 def test_streams_continue_and_waiting_requests_are_answered_when_the_drain_ends() -> None:
@@ -189,7 +189,7 @@
         streaming = await send_request(on, "q1")
         await streaming.receive(events=3)
         waiting: Call = await send_request(on, "q2", Req_Deadline="15000m")
-        await wait_until(lambda: len(decode_host.begun) >= 2)
+        await wait_until(lambda: len(decode_host.received_ids) >= 2)
         stop_as_if_signaled(on, 3.25)
         with trio.fail_after(0.45 + 0.5):  # earliest SIGKILL, and 0.5 s for a slow machine
             assert (await waiting.receive()).status in (500, 503)
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -48,7 +48,7 @@
         answer = await ask_platform(on.platform, "q1", "consulta")
         assert (answer.status, answer.whole, answer.events[-1]) == (200, True, b"[DONE]")
         assert answer.body.startswith(b'data: {"choices":[{"index":0,"delta":{"content":"')
-        assert (reader.begun, writer.begun) == (["q1"], ["q1"])
+        assert (reader.received_ids, writer.received_ids) == (["q1"], ["q1"])
         assert reader.bodies == writer.bodies
         assert writer.calls == [("POST", "q1")]
 
@@ -61,7 +61,7 @@
     async def story(on: Stage) -> None:
         answer = await ask_platform(on.platform, "q1", "consulta")
         assert (answer.status, answer.whole, len(answer.events)) == (200, False, 2)
-        assert writer.begun == ["q1"]
+        assert writer.received_ids == ["q1"]
 
     play(reader, writer, story=story)
 
@@ -73,7 +73,7 @@
     async def story(on: Stage) -> None:
         answer = await ask_platform(on.platform, "q1", "orden")
         assert answer.status == 500
-        assert writer.begun == ["q1"]
+        assert writer.received_ids == ["q1"]
 
     play(reader, writer, story=story)
 
@@ -142,7 +142,7 @@
         writer.hang_up()
         await trio.testing.wait_all_tasks_blocked()
         answer = await ask_platform(on.platform, "q2", "orden")
-        assert (answer.outcome, writer.begun) == ("served", ["q1", "q2"])
+        assert (answer.outcome, writer.received_ids) == ("served", ["q1", "q2"])
 
     play(reader, writer, story=story)
 
@@ -155,7 +155,7 @@
         core.draining.add("w")  # told before the module heard of it
         answer = await ask_platform(on.platform, "q1", "orden")
         assert answer.outcome == "refused"
-        assert (writer.begun, writer.calls) == ([], [])
+        assert (writer.received_ids, writer.calls) == ([], [])
 
     play(reader, writer, story=story)
 
@@ -182,7 +182,7 @@
             request.set()
 
         on.nursery.start_soon(ask)
-        await reader.until(lambda: bool(reader.begun))
+        await reader.until(lambda: bool(reader.received_ids))
         reader.die()
         await request.wait()
         await writer.until(lambda: ("DELETE", "q1") in writer.calls)
@@ -411,7 +411,7 @@
                 filler.connect_ex(full.getsockname())
             on.daemon.upstream_driver.pool.hosts["w"].address = full.getsockname()
             assert (await ask_platform(on.platform, "q1", "orden")).outcome == "refused"
-            assert writer.begun == []
+            assert writer.received_ids == []
 
     play(reader, writer, story=story)
 
@@ -491,7 +491,7 @@
         again = Daemon(on.config(discovery=discovery.address))
         serving = await on.nursery.start(again.serve)
         while len(discovery.request_targets) < 2:  # it goes on asking
-            answer = await ask_platform(serving.platform, f"q{len(reader.begun)}", "consulta")
+            answer = await ask_platform(serving.platform, f"q{len(reader.received_ids)}", "consulta")
             assert answer.outcome == "served"
         assert set(again.core.endpoints) == {"r", "w"}
 
--- a/tests/test_transient_socket_errors.py
+++ b/tests/test_transient_socket_errors.py
@@ -82,7 +82,7 @@
         prefill = ModelHost("r", "prefill", Act(before=gate))
         async with dispatcher_process(prefill, ModelHost("w", "decode"), prepare=prepare) as dispatcher:
             call = await dispatcher.send_request("q1")
-            await prefill.until(lambda: prefill.begun == ["q1"])
+            await prefill.until(lambda: prefill.received_ids == ["q1"])
             faults.fail(SystemCall.RECV, errno.ENOMEM, 1)
             dispatcher.program.send(signal_number)
             await trio.sleep(0.2)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -296,7 +296,7 @@
         serving = await on.nursery.start(new_daemon.serve)
         assert "w" in new_daemon.core.draining
         assert (await ask_platform(serving.platform, "q1", "orden")).outcome == "refused"
-        assert (prefill_host.begun, decode_host.begun) == ([], [])
+        assert (prefill_host.received_ids, decode_host.received_ids) == ([], [])
 
     play(prefill_host, decode_host, story=story)
 
--- a/violetstack/rehearsal/hosts.py
+++ b/violetstack/rehearsal/hosts.py
@@ -84,7 +84,7 @@
         self.kind = kind
         self.cell = cell
         self.acts = deque(acts)
-        self.begun: list[str] = []  # ids of completely received requests; digests on a plain host
+        self.received_ids: list[str] = []  # ids of completely received requests; digests on a plain host
         self.runs: Counter[str] = Counter()  # answers begun, by the digest of the messages
         self.bodies: list[bytes] = []
         self.calls: list[tuple[str, str]] = []
@@ -108,7 +108,7 @@
             status = self.on_call(inbound.method, request_id) if self.on_call is not None else None
             await connection.answer(status or (200 if inbound.method == "POST" else 204), [])
             return
-        self.begun.append(inbound.headers.get("req-id", messages_digest(inbound.body)))
+        self.received_ids.append(inbound.headers.get("req-id", messages_digest(inbound.body)))
         self.bodies.append(bytes(inbound.body))
         await self.note()
         act = self.acts.popleft() if self.acts else SERVE
--- a/violetstack/rehearsal/scenarios.py
+++ b/violetstack/rehearsal/scenarios.py
@@ -96,7 +96,7 @@
     answer = await ask_platform(on.platform, "d1", "consulta")
     return [
         _check("platform", answer, "refused"),
-        ("no request reached the draining host", not decode_host.begun),
+        ("no request reached the draining host", not decode_host.received_ids),
     ]
 
 
@@ -141,7 +141,7 @@
         answer = (await raw(on.platform, sent)).partition(b"\r\n")[0].decode() or "connection closed"
         took = trio.current_time() - since
         checks.append((f"{name}: {answer} after {took:.1f} s", took < 3.0 and " 200 " not in answer))
-    return [*checks, ("no host received a request", not prefill_host.begun)]
+    return [*checks, ("no host received a request", not prefill_host.received_ids)]
 
 
 async def reload(on: Stage, prefill_host: ModelHost, decode_host: ModelHost) -> Checks:
@@ -155,7 +155,7 @@
     while decode_host.name in on.daemon.core.endpoints:
         await trio.sleep(0.001)
     answer = await ask_platform(on.platform, "n1", "orden")
-    return [_check("platform", answer, "served"), ("by the new decode host", other.begun == ["n1"])]
+    return [_check("platform", answer, "served"), ("by the new decode host", other.received_ids == ["n1"])]
 
 
 STORIES: dict[str, Story] = {
