--- a/deploy/sites/make.py
+++ b/deploy/sites/make.py
@@ -1,9 +1,10 @@
-"""Makes the project's own variants of a given site: the values here laid over the site's, for the bench.
+"""Generates the project's own variants of a given site for the bench, by overriding some of its values.
 
     python3 deploy/sites/make.py GIVEN/sites/SITE.toml [--into deploy/sites]
 
-Each NAME.values.toml beside this script becomes NAME/NAME.toml, with the site's real.json, wire.json and
-unlock.txt beside it. What is made is not committed: it is the given site's but for the values.
+Each NAME.values.toml in the directory of this script becomes NAME/NAME.toml, and the site's real.json,
+wire.json and unlock.txt are copied to the same directory. The generated files are not committed: apart from
+the values they are the given site's.
 """
 
 from __future__ import annotations
@@ -17,57 +18,69 @@
 from typing import Any
 
 HERE = Path(__file__).parent
-BESIDE = ("real.json", "wire.json", "unlock.txt")
+COPIED_FILES = ("real.json", "wire.json", "unlock.txt")
 
 
-def laid_over(base: Any, values: Any) -> Any:
-    """Tables key by key; in a list of tables the n-th over the n-th, or over the last."""
+def merge(base: Any, values: Any) -> Any:
+    """Merge `values` into `base`.
+
+    Tables are merged key by key. In a list of tables, each is merged into the table of `base` at the same
+    index, or into its last one. Any other value replaces that of `base`.
+    """
     if isinstance(base, dict) and isinstance(values, dict):
-        return base | {key: laid_over(base.get(key), value) for key, value in values.items()}
-    tables = isinstance(values, list) and values and isinstance(values[0], dict)
-    if tables and isinstance(base, list) and base:
-        return [laid_over(base[min(n, len(base) - 1)], value) for n, value in enumerate(values)]
+        return base | {key: merge(base.get(key), value) for key, value in values.items()}
+    is_table_list = isinstance(values, list) and values and isinstance(values[0], dict)
+    if is_table_list and isinstance(base, list) and base:
+        return [merge(base[min(n, len(base) - 1)], value) for n, value in enumerate(values)]
     return values
 
 
-def written(table: dict[str, Any], path: str = "") -> str:
-    """TOML: plain keys first, then tables, then lists of tables."""
+def to_toml(table: dict[str, Any], path: str = "") -> str:
+    """Format a table as TOML: its plain keys first, then its tables and lists of tables."""
     plain = []
     tables = []
     for key, value in table.items():
         name = f"{path}.{key}" if path else key
         if isinstance(value, dict):
-            tables.append(f"\n[{name}]\n{written(value, name)}")
+            tables.append(f"\n[{name}]\n{to_toml(value, name)}")
         elif isinstance(value, list) and value and isinstance(value[0], dict):
-            tables += [f"\n[[{name}]]\n{written(each, name)}" for each in value]
+            tables += [f"\n[[{name}]]\n{to_toml(row, name)}" for row in value]
         else:
             plain.append(f"{key} = {json.dumps(value, ensure_ascii=False)}\n")
     return "".join(plain + tables)
 
 
 def make(given: Path, into: Path) -> list[Path]:
-    """Raises SystemExit that names what is missing."""
-    missing = [str(path) for path in (given, *(given.parent / name for name in BESIDE)) if not path.is_file()]
+    """Write all variants of the site `given` below `into`, and return their TOML files.
+
+    Raises:
+        SystemExit: Some of the given files are missing; the message names them.
+    """
+    missing = [
+        str(path) for path in (given, *(given.parent / name for name in COPIED_FILES)) if not path.is_file()
+    ]
     if missing:
         sys.exit("make.py: these given files are missing: " + ", ".join(missing))
     base = tomllib.loads(given.read_text())
-    made = []
+    written = []
     for values in sorted(HERE.glob("*.values.toml")):
         name = values.name.removesuffix(".values.toml")
         folder = into / name
         folder.mkdir(parents=True, exist_ok=True)
-        site = laid_over(base, tomllib.loads(values.read_text()))
-        made.append(folder / f"{name}.toml")
-        made[-1].write_text(written(site))
-        for each in BESIDE:
-            shutil.copyfile(given.parent / each, folder / each)
-    return made
+        site = merge(base, tomllib.loads(values.read_text()))
+        written.append(folder / f"{name}.toml")
+        written[-1].write_text(to_toml(site))
+        for file_name in COPIED_FILES:
+            shutil.copyfile(given.parent / file_name, folder / file_name)
+    return written
 
 
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
-    parser.add_argument("given", type=Path, help="the given site's TOML file, its three files beside it")
+    parser.add_argument(
+        "given", type=Path, help="the given site's TOML file; its three other files are in the same directory"
+    )
     parser.add_argument("--into", type=Path, default=HERE)
-    told = parser.parse_args()
-    for path in make(told.given, told.into):
+    arguments = parser.parse_args()
+    for path in make(arguments.given, arguments.into):
         print(path)
--- a/examples/toy_host.py
+++ b/examples/toy_host.py
@@ -1,4 +1,4 @@
-"""A toy model host that speaks OpenAI's chat API: it answers with the words of the question.
+"""A toy model host with OpenAI's chat completions API. It streams the words of the question as its answer.
 
 python examples/toy_host.py [PORT]
 """
@@ -10,7 +10,7 @@
 import time
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-WORD_S = 0.1
+SECONDS_PER_WORD = 0.1
 
 
 class ToyHost(BaseHTTPRequestHandler):
@@ -23,20 +23,20 @@
         self.send_header("Content-Type", "text/event-stream")
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        for n, word in enumerate(words):
-            last = n == len(words) - 1
-            self.event({"delta": {"content": f"{word} "}, "finish_reason": "stop" if last else None})
-            time.sleep(WORD_S)
+        for index, word in enumerate(words):
+            is_last = index == len(words) - 1
+            self.send_event({"delta": {"content": f"{word} "}, "finish_reason": "stop" if is_last else None})
+            time.sleep(SECONDS_PER_WORD)
         usage = {"prompt_tokens": len(words), "completion_tokens": len(words), "total_tokens": 2 * len(words)}
-        self.chunk(b"data: " + json.dumps({"choices": [], "usage": usage}).encode() + b"\n\n")
-        self.chunk(b"data: [DONE]\n\n")
+        self.send_chunk(b"data: " + json.dumps({"choices": [], "usage": usage}).encode() + b"\n\n")
+        self.send_chunk(b"data: [DONE]\n\n")
         self.wfile.write(b"0\r\n\r\n")
 
-    def event(self, choice: dict[str, object]) -> None:
-        told = {"object": "chat.completion.chunk", "choices": [{"index": 0, **choice}]}
-        self.chunk(b"data: " + json.dumps(told).encode() + b"\n\n")
+    def send_event(self, choice: dict[str, object]) -> None:
+        event = {"object": "chat.completion.chunk", "choices": [{"index": 0, **choice}]}
+        self.send_chunk(b"data: " + json.dumps(event).encode() + b"\n\n")
 
-    def chunk(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
         self.wfile.write(b"%x\r\n%s\r\n" % (len(data), data))
         self.wfile.flush()
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -48,7 +48,7 @@
     into = tmp_path / "made"
     given.mkdir()
     (given / "site.toml").write_text(GIVEN)
-    for name in script.BESIDE:
+    for name in script.COPIED_FILES:
         (given / name).write_text(name)
     made = script.make(given / "site.toml", into)
     assert [path.stem for path in made] == ["helpdesk", "parcels"]
@@ -59,7 +59,9 @@
         assert [each["name"] for each in site["class"]] == [each["name"] for each in values["class"]]
         assert site["tier"][0]["conn"] == {"streams": 8, **values["tier"][0]["conn"]}
         assert site["tier"][0]["kind"] == [{"name": "prefill"}]
-        assert sorted(each.name for each in path.parent.iterdir()) == sorted([path.name, *script.BESIDE])
+        assert sorted(each.name for each in path.parent.iterdir()) == sorted(
+            [path.name, *script.COPIED_FILES]
+        )
     parcels = tomllib.loads(made[1].read_text())
     assert [each["effect"] for each in parcels["class"]] == ["unsafe", "safe", "safe"]
 
