--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -1,11 +1,12 @@
-"""How a fleet of dispatcher processes comes back: plans of benchmarks/fleet, by turns with another revision.
+"""Recovery of a fleet of dispatcher processes under the plans in benchmarks/fleet, by revision.
 
     python -m benchmarks.comeback [--against REV] [--plays N] [PLAN ...]
 
-For each plan: whole service after so many seconds (least, median, most over the plays), the median first
-token before the first trouble and in the four seconds after the last, most requests inside one reader before
-and then, refused, streams cut, sends past a drain, rules broken. Plays in which the stand-ins fell behind are
-left out and counted.
+Plays each plan N times, alternating between the revisions. Prints for each plan the seconds until full
+service (minimum, median and maximum over the plays); the median time to the first token, and the most
+requests inside one prefill host, before the first fault and in the four seconds after the last; then rejected
+requests, cut streams, requests sent to a draining host after the permitted time, and rules violated. Plays in
+which the simulated hosts fell behind are left out and counted.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 def unpack(revision: str, folder: Path) -> Path:
-    """A tree of its own, with this one's libraries."""
+    """Unpack a revision into `folder`; it uses the virtual environment of this checkout."""
     archive = subprocess.run(["git", "archive", revision], cwd=ROOT, check=True, capture_output=True).stdout
     subprocess.run(["tar", "-x", "-C", str(folder)], input=archive, check=True)
     (folder / ".venv").symlink_to(ROOT / ".venv")
@@ -36,7 +37,7 @@
 
 def told(plan: Plan, results: list[Result]) -> str:
     if not results:
-        return "no play counts"
+        return "no valid plays"
     full = sorted(r.to_full_s if r.to_full_s is not None else float("inf") for r in results)
     row: dict[str, list[float]] = {name: [] for name in ("before", "after", "inside0", "inside", "refused")}
     for result in results:
@@ -50,12 +51,12 @@
     mean = {name: median(values) for name, values in row.items()}
     cut = [r.answers.get("cut", 0) for r in results]
     return (
-        f"{len(results)} plays: whole after {full[0]:.1f}, {median(full):.1f}, {full[-1]:.1f} s; "
+        f"{len(results)} plays: full service after {full[0]:.1f}, {median(full):.1f}, {full[-1]:.1f} s; "
         f"first token {mean['before']:.0f} -> {mean['after']:.0f} ms; "
         f"inside {mean['inside0']:.0f} -> {mean['inside']:.0f}; "
-        f"refused {mean['refused']:.0f}; cut {min(cut)} to {max(cut)}; "
-        f"past a drain {sum(r.stale for r in results)}; "
-        f"rules broken {sum(len(r.breaches) for r in results)}; "
+        f"rejected {mean['refused']:.0f}; cut {min(cut)} to {max(cut)}; "
+        f"sent too late in a drain {sum(r.stale for r in results)}; "
+        f"rules violated {sum(len(r.breaches) for r in results)}; "
         f"ready {median([s for r in results for s in r.ready_s] or [0.0]):.2f} s"
     )
 
@@ -83,7 +84,9 @@
             for name, rows in results.items():
                 print(f"{file.stem}, {name}: {told(plan, rows)}", flush=True)
             if void:
-                print(f"{file.stem}: {void} plays left out, the stand-ins fell behind", flush=True)
+                print(
+                    f"{file.stem}: {void} plays left out because the simulated hosts fell behind", flush=True
+                )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -1,9 +1,10 @@
-"""A small model of a fleet in virtual time, under our own core and module.
+"""A small model of a fleet in virtual time, with the real dispatcher core and policy.
 
-Readers read prompts one after another at a rate of tokens a second; writers have slots and a queue; both
-turn away what finds their queue full. Clients give up, honour Retry-After and ask again up to three times.
-There are no kept texts, cells, failures or network times, and load reports are exact: it shows how
-admission and queues play together, not what a real fleet earns.
+Prefill hosts process prompts one after another at a constant token rate; decode hosts have slots and a
+queue; both reject requests when their queue is full. Clients time out, honour Retry-After and retry up to
+three times.
+The model has no cached prefixes, cells, failures or network latency, and load reports are exact. It shows how
+admission and queues interact, not what a real fleet would earn.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
     UpdateScope,
 )
 
-READ_TOKENS_MS = 18.0  # a reader's rate
+READ_TOKENS_MS = 18.0  # tokens that a prefill host processes in a millisecond
 READ_QUEUE = 40
 WRITE_SLOTS = 80
 WRITE_QUEUE = 25
@@ -61,7 +62,7 @@
 
 
 class Clock:
-    """Events in the order of their times."""
+    """The virtual clock, and a queue of callbacks ordered by time."""
 
     def __init__(self) -> None:
         self.now, self.heap, self.order = 0.0, list[tuple[float, int, Callable[[], None]]](), count()
@@ -136,7 +137,7 @@
 
 
 class Node:
-    """One dispatcher: the real core and module, the driver that they ask, and the levels, if any."""
+    """One dispatcher: the real core and policy, their driver, and levels of reduced service, if any."""
 
     def __init__(self, fleet: Fleet, settings: Settings, plan: LevelPlan | None) -> None:
         self.fleet = fleet
@@ -185,7 +186,7 @@
         self.core.attempt_finished(self.clock.now, attempt, status)
         self.wake()
 
-    # --- what the core asks ---
+    # --- the driver interface that the core calls ---
 
     def start_attempt(self, attempt: Attempt) -> None:
         attempt.request_written = True
@@ -222,7 +223,7 @@
 
 @dataclass
 class Asking:
-    """One client's wish, over its tries; earns once."""
+    """A client's request with its retries; its priority weight is earned once."""
 
     fleet: Fleet
     cls: int
@@ -293,7 +294,12 @@
 
 
 class Fleet:
-    """`load`: offered first tries, in parts of what the readers can read; arrivals depend on the seed."""
+    """The model of a whole fleet.
+
+    Args:
+        load: The arrival rate of first attempts at a time in seconds, as a multiple of the prefill capacity.
+        seed: Determines the arrivals and the choice of dispatchers.
+    """
 
     def __init__(
         self,
--- a/benchmarks/language.py
+++ b/benchmarks/language.py
@@ -1,8 +1,8 @@
-"""What check, fmt and diff of large files cost in time and memory, and how that grows.
+"""Time and memory of check, fmt and diff for large files, and how they grow with the number of lines.
 
     .venv/bin/python -m benchmarks.language
 
-Each row runs in a process of its own, so that its peak of resident memory is its own.
+Each measurement runs in a process of its own, so that its peak resident memory is not that of another.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from violetstack.language.files import read_text
 from violetstack.language.layout import layout
 
-LINES = (100, 1_000, 10_000)
+LINE_COUNTS = (100, 1_000, 10_000)
 
 
-def file_of(lines: int) -> str:
-    """A file of about so many lines: four lines a route, a few pools."""
+def generate_file(lines: int) -> str:
+    """Generate a file of about `lines` lines: four lines a route, and a few pools."""
     rng = random.Random(lines)
     rows = [
         "class consulta { aim = 1.5s give_up = 7.5s effect = repeatable }",
@@ -40,31 +40,33 @@
     return "\n".join([*rows, "route rest {}", ""])
 
 
-def one(what: str, lines: int) -> None:
-    text = file_of(lines)
+def measure(operation: str, lines: int) -> None:
+    text = generate_file(lines)
     started = time.perf_counter()
-    if what == "fmt":
+    if operation == "fmt":
         layout(text)
     else:
         result = check(read_text(text))
         assert result.meaning is not None, result.problems[:3]
-        if what == "diff":
+        if operation == "diff":
             other = check(read_text(layout(text.replace("pool = p3", "pool = p4"))))
             assert other.meaning is not None
             assert difference(result.meaning, other.meaning)
-    took = time.perf_counter() - started
+    seconds = time.perf_counter() - started
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    print(f"{what:6} {lines:6} lines {took:8.2f} s {took / lines * 1e6:8.1f} us/line {peak:5.0f} MB")
+    print(
+        f"{operation:6} {lines:6} lines {seconds:8.2f} s {seconds / lines * 1e6:8.1f} us/line {peak:5.0f} MB"
+    )
 
 
 def main() -> None:
-    for what in ("check", "fmt", "diff"):
-        for lines in LINES:
-            subprocess.run([sys.executable, "-m", "benchmarks.language", what, str(lines)], check=True)
+    for operation in ("check", "fmt", "diff"):
+        for lines in LINE_COUNTS:
+            subprocess.run([sys.executable, "-m", "benchmarks.language", operation, str(lines)], check=True)
 
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        one(sys.argv[1], int(sys.argv[2]))
+        measure(sys.argv[1], int(sys.argv[2]))
     else:
         main()
--- a/benchmarks/lease_check.py
+++ b/benchmarks/lease_check.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.lease_check [--states N]
 
-First, for each injected fault, the states until it was found and the shortest trace to it. Then, for each
-set of bounds (rounds of the proposers, steps of time, restarts of acceptors), the states, the seconds, and
-whether these were all states within the bounds.
+First prints, for each injected fault, how many states were explored until it was found, and the shortest
+trace to it. Then, for each set of bounds (rounds of the proposers, steps of time, restarts of acceptors), the
+explored states, the seconds, and whether these were all states within the bounds.
 """
 
 from __future__ import annotations
@@ -25,7 +25,8 @@
     Bounds((1, 1), 3, 0),
     Bounds((2, 1), 3, 1),
 )
-# The smallest bounds that show each fault. "promise forgotten at once" needs times that the model leaves out.
+# The smallest bounds within which each fault is found. "promise forgotten at once" needs points in time that
+# the model leaves out.
 FAULT_BOUNDS = {
     "no quarantine after a restart": Bounds((1, 1), 1, 1),
     "no clock drift margin": Bounds((1, 1), 2, 0),
@@ -39,7 +40,7 @@
 
 
 def check_faults(max_states: int) -> None:
-    """Print how each injected fault is found."""
+    """Print after how many states, and by which trace, each injected fault is found."""
     for fault, bounds in FAULT_BOUNDS.items():
         started = time.monotonic()
         with injected(fault):
@@ -72,7 +73,10 @@
     """Run the command."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument(
-        "--states", type=int, default=DEFAULT_MAX_STATES, help="at most, for one set of bounds"
+        "--states",
+        type=int,
+        default=DEFAULT_MAX_STATES,
+        help="the maximum number of states explored for one set of bounds",
     )
     options = parser.parse_args()
     check_faults(options.states)
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,12 +1,12 @@
-"""Time to the next lease holder, and the cost of leases, in virtual time on a network with loss.
+"""Time until the next lease holder, and the cost of leases, in virtual time on a network with packet loss.
 
     python -m benchmarks.leases [--runs N] [--minutes M]
 
-For fleets of 5, 40 and 200 dispatchers and losses of 0, 10 and 30%: the time to the first holder, and to the
-next one after the holder was killed, partitioned, or partitioned one way so that it receives nothing (median
-and maximum of N runs; a lease is 2 s, and 2% longer for acceptors). Then the changes of holder in M minutes
-without faults, and what leases cost: datagrams and bytes a second of the whole fleet for 1, 100 and 1,000
-leases, and the CPU time of a renewal.
+For fleets of 5, 40 and 200 dispatchers and packet losses of 0, 10 and 30%, prints the time until the first
+holder, and until the next one after the holder was killed, partitioned, or partitioned one way so that it
+receives nothing (median and maximum of N runs; a lease lasts 2 s, and 2% longer for acceptors). Then prints
+the changes of holder in M minutes without faults, and the cost of leases: datagrams and bytes a second of the
+whole fleet for 1, 100 and 1,000 leases, and the CPU time of a renewal.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 STEP_MS = 10.0
 MAX_WAIT_MS = 60_000.0
-SETTLE_MS = 6_000.0  # before the holder gets a fault
+SETTLE_MS = 6_000.0  # before a fault is injected at the holder
 MINUTE_MS = 60_000.0
 LATENCY_MS = 3.0
 COST_SETTLE_MS = 20_000.0
@@ -35,7 +35,7 @@
 
 
 class Workload(NamedTuple):
-    """A fleet, its leases, and for how long it is measured."""
+    """The size of a fleet, its number of leases, and the seconds for which it is measured."""
 
     fleet_size: int
     leases: int
@@ -52,14 +52,14 @@
 
 
 class Traffic(NamedTuple):
-    """Datagrams and bytes sent."""
+    """The numbers of datagrams and bytes sent."""
 
     datagrams: int
     size: int
 
 
 def wait_for_holder(cluster: Cluster, former: Process | None = None) -> float:
-    """Run until a process other than `former` holds the lease; return the milliseconds."""
+    """Run until a process other than `former` holds the lease; return the elapsed milliseconds."""
     started = cluster.time
     while not any(process.holds() for process in cluster.processes if process is not former):
         if cluster.time - started > MAX_WAIT_MS:
@@ -80,12 +80,12 @@
 
 
 def partition_inbound(cluster: Cluster, holder: Process) -> None:
-    """Let the holder send and receive nothing."""
+    """Cut off the holder's inbound direction: it can send, but receives nothing."""
     cluster.partitioned |= {(n, holder.number) for n in range(cluster.size)}
 
 
 def failover_ms(seed: int, size: int, loss: float, inject: HolderFault) -> float:
-    """Return how long the next holder takes after a fault of the first."""
+    """Return the milliseconds until another process holds the lease, after a fault of the first holder."""
     cluster = Cluster(seed, size, loss, faults=False)
     cluster.run(SETTLE_MS)
     wait_for_holder(cluster)
@@ -95,8 +95,11 @@
 
 
 def print_failover(runs: int) -> None:
-    """Print the times to the first and the next holder."""
-    print("size loss  first: median max | next after a kill | a partition | an inbound one  (ms)", flush=True)
+    """Print the times until the first and until the next holder."""
+    print(
+        "size loss  first: median max | next after a kill | a partition | an inbound partition  (ms)",
+        flush=True,
+    )
     for size in (5, 40, 200):
         for loss in (0.0, 0.1, 0.3):
             first = sorted(wait_for_holder(Cluster(seed, size, loss, faults=False)) for seed in range(runs))
@@ -108,7 +111,7 @@
 
 
 def print_holder_changes(minutes: float) -> None:
-    """Print how often the holder changes without a fault."""
+    """Print how often the holder changes when no fault is injected."""
     for size, loss in ((5, 0.3), (40, 0.3)):
         cluster = Cluster(1, size, loss, faults=False)
         cluster.run(minutes * MINUTE_MS)
@@ -121,10 +124,10 @@
 
 
 class LosslessFleet:
-    """Lease nodes whose datagrams arrive 3 ms later, and the CPU time that they take."""
+    """Lease nodes whose datagrams all arrive after `LATENCY_MS`, and the CPU time that the nodes use."""
 
     def __init__(self, fleet_size: int, leases: int) -> None:
-        """Start nodes that all want all leases."""
+        """Start nodes of which each campaigns for every lease."""
         self.now = 0.0
         self.cpu_s = 0.0
         self.names = [f"d{n}" for n in range(leases)]
@@ -135,7 +138,7 @@
                 node.campaign(name)
 
     def run(self, duration_ms: float) -> None:
-        """Run the nodes for a while."""
+        """Run the nodes for `duration_ms` of virtual time."""
         until = self.now + duration_ms
         while self.now < until:
             self.now += LATENCY_MS
@@ -155,7 +158,7 @@
                 self._in_flight += [(node.number, to, data) for to, data in node.tick(self.now)]
 
     def traffic(self) -> Traffic:
-        """Return what was sent since the start."""
+        """Return the traffic of all nodes since the start."""
         datagrams = sum(node.outbox.datagrams_sent for node in self.nodes)
         return Traffic(datagrams, sum(node.outbox.bytes_sent for node in self.nodes))
 
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -1,9 +1,10 @@
-"""Processor time of a request in one real dispatcher, against another revision in turns.
+"""CPU time of a request in one dispatcher process, optionally compared with another revision.
 
     python -m benchmarks.request_cost [--against REV] [--turns N]
 
-A dispatcher process serves requests one after the other, each on its own connection, between stand-in hosts
-that this process plays. Its own processor time (/proc) is divided by their number: medians over the turns.
+A dispatcher process serves requests one after the other, each on its own connection; this process simulates
+the model hosts. The dispatcher's CPU time (from /proc) is divided by the number of requests. Prints the
+median over N repetitions, which alternate between the revisions.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 
 ROOT = Path(__file__).parents[1]
 TICK_S = 1.0 / os.sysconf("SC_CLK_TCK")
-WARM_UP = 100
+WARM_UP_REQUESTS = 100
 REQUESTS = 1_000
 
 
 async def measure(tree: Path) -> float:
-    """Milliseconds of processor time a request."""
+    """Return the milliseconds of CPU time per request."""
     hosts = [ModelHost("r", "prefill"), ModelHost("w", "decode")]
     async with trio.open_nursery() as nursery:
         for host in hosts:
@@ -45,59 +46,63 @@
     return spent_s / REQUESTS * 1000.0
 
 
-async def _serve(tree: Path, configuration: str) -> float:
-    env = {**os.environ, "NODE_CONFIG": configuration, "PYTHONPATH": str(tree)}
+async def _serve(tree: Path, config: str) -> float:
+    env = {**os.environ, "NODE_CONFIG": config, "PYTHONPATH": str(tree)}
     command = [sys.executable, "-m", "violetstack"]
     with tempfile.TemporaryFile() as log:
         program = subprocess.Popen(command, cwd=tree, env=env, stdout=log)  # noqa: ASYNC220 - starts at once
         try:
-            address = await _platform(log.fileno())
-            for number in range(WARM_UP + REQUESTS):
-                if number == WARM_UP:
-                    began_s = _processor_s(program.pid)
+            address = await _wait_for_platform_address(log.fileno())
+            for number in range(WARM_UP_REQUESTS + REQUESTS):
+                if number == WARM_UP_REQUESTS:
+                    started_s = _cpu_s(program.pid)
                 answer = await ask_platform(address, f"q{number}", "consulta")
                 if answer.outcome != "served":
                     raise RuntimeError(answer.outcome)
-            return _processor_s(program.pid) - began_s
+            return _cpu_s(program.pid) - started_s
         finally:
             program.kill()
             program.wait()
 
 
-async def _platform(log: int) -> tuple[str, int]:
+async def _wait_for_platform_address(log_descriptor: int) -> tuple[str, int]:
     while True:
-        for line in os.pread(log, 65536, 0).splitlines():
+        for line in os.pread(log_descriptor, 65536, 0).splitlines():
             event = json.loads(line)
             if event["event"] == "started":
                 return event["platform"][0], event["platform"][1]
         await trio.sleep(0.02)
 
 
-def _processor_s(pid: int) -> float:
+def _cpu_s(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) * TICK_S
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(description=__doc__)
-    asked.add_argument("--against", help="a revision to measure by turns with this tree")
-    asked.add_argument("--turns", type=int, default=7)
-    told = asked.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--against", help="another revision, measured alternating with this one")
+    parser.add_argument("--turns", type=int, default=7)
+    arguments = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         trees = {"here": ROOT}
-        if told.against:
-            trees[told.against] = Path(folder)
+        if arguments.against:
+            trees[arguments.against] = Path(folder)
             archive = subprocess.run(
-                ["git", "archive", told.against], cwd=ROOT, check=True, capture_output=True
+                ["git", "archive", arguments.against], cwd=ROOT, check=True, capture_output=True
             )
             subprocess.run(["tar", "-x", "-C", folder], input=archive.stdout, check=True)
-        rows = [{name: trio.run(measure, tree) for name, tree in trees.items()} for _ in range(told.turns)]
+        samples = [
+            {name: trio.run(measure, tree) for name, tree in trees.items()} for _ in range(arguments.turns)
+        ]
     for name in trees:
-        figures = [row[name] for row in rows]
+        figures = [sample[name] for sample in samples]
         print(f"{name}: {median(figures):.3f} ms a request ({min(figures):.3f} to {max(figures):.3f})")
-    if told.against:
-        ratios = [row["here"] / row[told.against] for row in rows]
-        print(f"here against {told.against}: {median(ratios):.3f} ({min(ratios):.3f} to {max(ratios):.3f})")
+    if arguments.against:
+        ratios = [sample["here"] / sample[arguments.against] for sample in samples]
+        print(
+            f"here against {arguments.against}: {median(ratios):.3f} ({min(ratios):.3f} to {max(ratios):.3f})"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,8 +1,8 @@
-"""What routing costs: the index against the plain walk, and what the layer adds to a request.
+"""Time of an indexed route lookup against a linear search, and the time that routing adds to a request.
 
     .venv/bin/python -m benchmarks.routing
 
-Both find the same routes (checked before anything is timed). Ratios are of one run.
+Checks first that both searches find the same routes. All ratios are from one run.
 """
 
 from __future__ import annotations
@@ -25,8 +25,11 @@
 MODELS = [f"model-{n}" for n in range(20)]
 
 
-def routes(count: int, rng: random.Random) -> list[Route]:
-    """Most name a tenant, some a class, a model or a length; a few exclude; one has the rest."""
+def generate_routes(count: int, rng: random.Random) -> list[Route]:
+    """Generate routes: all with a tenant, some with a class, a model or a prompt length; few are negated.
+
+    The last one matches every request.
+    """
     rows = []
     for n in range(count - 1):
         parts: list[Condition] = [OneOf("tenant", frozenset({f"tenant-{rng.randrange(count)}"}))]
@@ -43,7 +46,7 @@
     return [*rows, Route("rest")]
 
 
-def requests(count: int, rng: random.Random) -> list[RequestAttributes]:
+def generate_requests(count: int, rng: random.Random) -> list[RequestAttributes]:
     return [
         RequestAttributes(
             rng.choice(CLASSES),
@@ -57,45 +60,48 @@
     ]
 
 
-def each_us(
-    act: Callable[[RequestAttributes], object], asked: list[RequestAttributes], least_s: float = 0.3
+def time_call_us(
+    call: Callable[[RequestAttributes], object],
+    requests: list[RequestAttributes],
+    min_duration_s: float = 0.3,
 ) -> float:
-    """Microseconds of one call, the best of three rounds."""
+    """Return the microseconds of one call, the best of three rounds."""
     best = float("inf")
     for _ in range(3):
-        done = 0
+        calls = 0
         started = time.perf_counter()
-        while time.perf_counter() - started < least_s:
-            for each in asked:
-                act(each)
-            done += len(asked)
-        best = min(best, (time.perf_counter() - started) / done * 1e6)
+        while time.perf_counter() - started < min_duration_s:
+            for request in requests:
+                call(request)
+            calls += len(requests)
+        best = min(best, (time.perf_counter() - started) / calls * 1e6)
     return best
 
 
-def index_against_walk() -> None:
-    print("routes     build ms   index us    walk us   walk/index   index/index at 10")
-    first = 0.0
+def compare_searches() -> None:
+    print("routes     build ms   index us  linear us linear/index   index/index at 10")
+    smallest_us = 0.0
     for count in SIZES:
         rng = random.Random(count)
-        rows = routes(count, rng)
+        rows = generate_routes(count, rng)
         started = time.perf_counter()
         table = Table(rows)
-        built = (time.perf_counter() - started) * 1e3
-        asked = requests(count, rng)
-        few = asked if count < 10_000 else asked[:50]
-        assert all(table.find(each) == table.find_linear(each) for each in few)
-        index = each_us(table.find, asked)
-        walk = each_us(table.find_linear, few)
-        first = first or index
+        build_ms = (time.perf_counter() - started) * 1e3
+        requests = generate_requests(count, rng)
+        compared = requests if count < 10_000 else requests[:50]
+        assert all(table.find(request) == table.find_linear(request) for request in compared)
+        index_us = time_call_us(table.find, requests)
+        linear_us = time_call_us(table.find_linear, compared)
+        smallest_us = smallest_us or index_us
         print(
-            f"{count:6} {built:12.1f} {index:10.2f} {walk:10.1f} {walk / index:12.1f} {index / first:12.2f}"
+            f"{count:6} {build_ms:12.1f} {index_us:10.2f} {linear_us:10.1f} {linear_us / index_us:12.1f} "
+            f"{index_us / smallest_us:12.2f}"
         )
 
 
-def added_to_a_request() -> None:
-    """From a front's request to its course, the module's questions for 11 hosts, and the end."""
-    rows = (*routes(999, random.Random(1)), Route("all", pool="near", policy="usual"))
+def measure_added_cost() -> None:
+    """Print what routing adds to a request: matching it, the policy's checks of 11 hosts, and its end."""
+    rows = (*generate_routes(999, random.Random(1)), Route("all", pool="near", policy="usual"))
     rows = tuple(row for row in rows if row.name != "rest")
     near = PoolSpec("near", OneOf("cell", frozenset({"0"})), 1, ("far",))
     plan = RoutingPlan(
@@ -115,22 +121,22 @@
     request = Request("q", 0, 0, "s", 5000.0, None, None, 3000.0, 0.0, 200.0, False, False)
     origin = Origin("chat", "model-3", 4_000)
 
-    def routed(_: RequestAttributes) -> None:
+    def route_request(_: RequestAttributes) -> None:
         request.route = None
-        asked = routing.route(request, origin)
-        routing.request_accepted(1.0, asked)
-        course = asked.route
-        assert course is not None
-        course.active_pool(1.0)
+        routed = routing.route(request, origin)
+        routing.request_accepted(1.0, routed)
+        request_route = routed.route
+        assert request_route is not None
+        request_route.active_pool(1.0)
         for entry in entries:
-            course.contains(entry.server, 1.0)
-        routing.log_fields(asked)
-        routing.request_closed(2.0, asked)
+            request_route.contains(entry.server, 1.0)
+        routing.log_fields(routed)
+        routing.request_closed(2.0, routed)
 
-    cost = each_us(routed, requests(10, random.Random(2)))
-    print(f"\nadded to a request, 1,000 routes and 11 hosts: {cost:.1f} us")
+    cost_us = time_call_us(route_request, generate_requests(10, random.Random(2)))
+    print(f"\nadded to a request, 1,000 routes and 11 hosts: {cost_us:.1f} us")
 
 
 if __name__ == "__main__":
-    index_against_walk()
-    added_to_a_request()
+    compare_searches()
+    measure_added_cost()
--- a/benchmarks/service.py
+++ b/benchmarks/service.py
@@ -1,8 +1,9 @@
-"""What a silent connection costs, how late the admin API is in a crowd, and a start to its yes, as ratios.
+"""Cost of a silent connection, latency of the admin API among many connections, and cost of a start.
 
     python -m benchmarks.service [--against REV]
 
-The other revision is unpacked into a folder of its own and measured in turns with this one, by this file.
+With --against, another revision is unpacked into a temporary directory and measured with this file,
+alternating with this revision; ratios are printed.
 """
 
 from __future__ import annotations
@@ -26,30 +27,35 @@
 from violetstack.daemon.process import run
 from violetstack.rehearsal.stage import SETTINGS
 
-SILENT = 1_000
-STORM = 3_000
-TURNS = 3
-TICKS = os.sysconf("SC_CLK_TCK")
+SILENT_CONNECTIONS = 1_000
+STORM_CONNECTIONS = 3_000
+REPETITIONS = 3
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class Daemon:
-    """One started program, with room for a crowd."""
+    """A dispatcher process whose limits admit thousands of connections.
 
-    def __init__(self, root: Path, watched: bool = False) -> None:
+    Args:
+        root: The checkout that it runs from.
+        instrumented: Whether it measures the longest iteration of its event loop.
+    """
+
+    def __init__(self, root: Path, instrumented: bool = False) -> None:
         self._folder = tempfile.TemporaryDirectory()
         file = Path(self._folder.name) / "config.json"
-        told = {
+        config = {
             "listen": "127.0.0.1:0",
             "mgmt": "127.0.0.1:0",
             "seed": "ff",
             "settings": SETTINGS,
             "limits": {"sockets": 4096, "memory_mb": 1024},
         }
-        file.write_text(json.dumps(told))
+        file.write_text(json.dumps(config))
         began = time.monotonic()
-        words = ["benchmarks.service", "--serve"] if watched else ["violetstack"]
+        module = ["benchmarks.service", "--serve"] if instrumented else ["violetstack"]
         self.process = subprocess.Popen(
-            [sys.executable, "-m", *words],
+            [sys.executable, "-m", *module],
             cwd=root,
             stdout=subprocess.PIPE,
             env={**os.environ, "NODE_CONFIG": str(file), "TMPDIR": self._folder.name},
@@ -58,40 +64,43 @@
         lines = self._lines = (json.loads(line) for line in self.process.stdout)
         started = next(line for line in lines if line["event"] == "started")
         self.ready_s, self.ready_cpu_s = time.monotonic() - began, self.cpu_s()
-        self.at: tuple[str, int] = tuple(started["platform"])
-        admin = started.get("admin") or started.get("door")  # the second: as revisions before named it
+        self.platform: tuple[str, int] = tuple(started["platform"])
+        admin = started.get("admin") or started.get("door")  # "door" is the name in older revisions
         self.admin: tuple[str, int] | None = tuple(admin) if admin else None
 
     def cpu_s(self) -> float:
-        row = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(row[11]) + int(row[12])) / TICKS
+        fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def resident_kib(self) -> float:
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         return float(status.split("VmRSS:")[1].split()[0])
 
-    def longest_turn_ms(self) -> float:
-        """Ends it in order."""
+    def longest_iteration_ms(self) -> float:
+        """Shut the dispatcher down; return the longest iteration of its event loop.
+
+        The key in its output is the same in older revisions.
+        """
         self.process.terminate()
         return float(next(line["longest_turn_ms"] for line in self._lines if "longest_turn_ms" in line))
 
-    def end(self) -> None:
+    def kill(self) -> None:
         self.process.kill()
         self.process.wait()
         self._folder.cleanup()
 
 
-def ask(at: tuple[str, int], path: bytes) -> bytes:
-    with socket.create_connection(at, timeout=10.0) as sock:
+def fetch(address: tuple[str, int], path: bytes) -> bytes:
+    with socket.create_connection(address, timeout=10.0) as sock:
         sock.sendall(b"GET %b HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" % path)
-        heard = b""
+        response = b""
         while data := sock.recv(4096):
-            heard += data
-        return heard
+            response += data
+        return response
 
 
-class Turns(trio.abc.Instrument):
-    """The loop's longest turn: between two times at which it looks for what has come."""
+class LoopIterations(trio.abc.Instrument):
+    """Measures the longest iteration of the event loop, from one I/O wait to the next."""
 
     def __init__(self) -> None:
         self.longest, self._began = 0.0, time.perf_counter()
@@ -105,91 +114,93 @@
 
 def serve() -> None:
     path = os.environ["NODE_CONFIG"]
-    turns = Turns()
+    iterations = LoopIterations()
 
     async def main() -> None:
-        turns.longest = 0.0
+        iterations.longest = 0.0
         await run(load(path), lambda: load(path, is_reload=True))
 
-    trio.run(main, instruments=[turns])
-    print(json.dumps({"longest_turn_ms": turns.longest * 1000.0}), flush=True)
+    trio.run(main, instruments=[iterations])
+    print(json.dumps({"longest_turn_ms": iterations.longest * 1000.0}), flush=True)
 
 
 def measure(root: Path) -> dict[str, float]:
     daemon = Daemon(root)
     try:
-        ask(daemon.at, b"/-/ready")
-        told = {"start to yes, s": daemon.ready_s, "start to yes, CPU s": daemon.ready_cpu_s}
-        before = daemon.resident_kib()
-        cpu = daemon.cpu_s()
-        crowd = [socket.create_connection(daemon.at) for _ in range(SILENT)]
-        ask(daemon.at, b"/-/ready")  # behind all of them in the queue
-        told["KiB a silent connection"] = (daemon.resident_kib() - before) / SILENT
-        told["CPU us a silent connection"] = (daemon.cpu_s() - cpu) / SILENT * 1e6
-        for sock in crowd:
+        fetch(daemon.platform, b"/-/ready")
+        figures = {"start to ready, s": daemon.ready_s, "start to ready, CPU s": daemon.ready_cpu_s}
+        memory_before_kib = daemon.resident_kib()
+        cpu_before_s = daemon.cpu_s()
+        connections = [socket.create_connection(daemon.platform) for _ in range(SILENT_CONNECTIONS)]
+        fetch(daemon.platform, b"/-/ready")  # queued behind all of them, so they have been accepted
+        figures["KiB a silent connection"] = (daemon.resident_kib() - memory_before_kib) / SILENT_CONNECTIONS
+        figures["CPU us a silent connection"] = (daemon.cpu_s() - cpu_before_s) / SILENT_CONNECTIONS * 1e6
+        for sock in connections:
             sock.close()
         has_admin_api = daemon.admin is not None
     finally:
-        daemon.end()
+        daemon.kill()
     if has_admin_api:
-        daemon = Daemon(root, watched=True)
+        daemon = Daemon(root, instrumented=True)
         try:
-            told |= storm(daemon)
-            told["loop's longest turn, ms"] = daemon.longest_turn_ms()
+            figures |= storm(daemon)
+            figures["longest loop iteration, ms"] = daemon.longest_iteration_ms()
         finally:
-            daemon.end()
-    return told
+            daemon.kill()
+    return figures
 
 
 def storm(daemon: Daemon) -> dict[str, float]:
-    """Connections as fast as they can be made, a request to the admin API between them."""
+    """Open connections as fast as possible; after every 60, time a request to the admin API."""
     assert daemon.admin is not None
-    late = []
-    crowd = list[socket.socket]()
-    for n in range(STORM):
-        crowd.append(socket.create_connection(daemon.at))
+    latencies_ms = []
+    connections = list[socket.socket]()
+    for n in range(STORM_CONNECTIONS):
+        connections.append(socket.create_connection(daemon.platform))
         if n % 60 == 59:
             began = time.monotonic()
-            assert b"open_requests" in ask(daemon.admin, b"/admin/stats")
-            late.append((time.monotonic() - began) * 1000.0)
-        if len(crowd) >= 1_500:
-            crowd.pop(0).close()
-    for sock in crowd:
+            assert b"open_requests" in fetch(daemon.admin, b"/admin/stats")
+            latencies_ms.append((time.monotonic() - began) * 1000.0)
+        if len(connections) >= 1_500:
+            connections.pop(0).close()
+    for sock in connections:
         sock.close()
-    late.sort()
-    return {"admin API, median ms": median(late), "admin API, latest ms": late[-1]}
+    latencies_ms.sort()
+    return {"admin API, median ms": median(latencies_ms), "admin API, longest ms": latencies_ms[-1]}
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--against", metavar="REV", help="another revision, measured in turns with this one")
+    parser.add_argument(
+        "--against", metavar="REV", help="another revision, measured alternating with this one"
+    )
     parser.add_argument("--serve", action="store_true", help=argparse.SUPPRESS)
-    told = parser.parse_args()
-    if told.serve:
+    arguments = parser.parse_args()
+    if arguments.serve:
         serve()
         return
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 16_384), hard))
     root = Path(__file__).resolve().parent.parent
-    rows: dict[str, list[dict[str, float]]] = {"this one": []}
+    samples: dict[str, list[dict[str, float]]] = {"this one": []}
     with tempfile.TemporaryDirectory() as folder:
-        if told.against:
+        if arguments.against:
             archive = subprocess.run(
-                ["git", "archive", told.against], cwd=root, check=True, capture_output=True
+                ["git", "archive", arguments.against], cwd=root, check=True, capture_output=True
             )
             subprocess.run(["tar", "-x", "-C", folder], input=archive.stdout, check=True)
-            rows[told.against] = []
-        for name in rows:  # compiled once, so that no turn counts it
-            Daemon(root if name == "this one" else Path(folder)).end()
-        for _ in range(TURNS):
-            rows["this one"].append(measure(root))
-            if told.against:
-                rows[told.against].append(measure(Path(folder)))
+            samples[arguments.against] = []
+        for name in samples:  # compiles the modules, so that no repetition includes the compilation
+            Daemon(root if name == "this one" else Path(folder)).kill()
+        for _ in range(REPETITIONS):
+            samples["this one"].append(measure(root))
+            if arguments.against:
+                samples[arguments.against].append(measure(Path(folder)))
     figures: dict[str, dict[str, Any]] = {
-        name: {key: median(turn[key] for turn in turns) for key in turns[0]} for name, turns in rows.items()
+        name: {key: median(row[key] for row in rows) for key in rows[0]} for name, rows in samples.items()
     }
     for key, value in figures["this one"].items():
-        other = figures.get(told.against or "", {}).get(key)
+        other = figures.get(arguments.against or "", {}).get(key)
         print(f"{key:28} {value:9.3f}" + (f"  {other:9.3f}  x{value / other:.2f}" if other else ""))
 
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,6 +1,9 @@
-"""What a start costs: processor time and memory from `exec` to the line `started`, with 100 hosts known.
+"""CPU time and memory of a start, from `exec` to the log line `started`, with 100 known hosts.
 
-`python -m benchmarks.start [--against REV] [--plays N]`: medians and the least, by turns where there are two.
+    python -m benchmarks.start [--against REV] [--plays N]
+
+Prints the medians and the minimum CPU time of N starts, which alternate between the revisions if there are
+two.
 """
 
 from __future__ import annotations
@@ -21,8 +24,8 @@
 TICK_S = 1.0 / os.sysconf("SC_CLK_TCK")
 
 
-def start(tree: Path, config: Path) -> tuple[float, float]:
-    """Seconds of processor time, and MiB, when it says that it has started."""
+def measure_start(tree: Path, config: Path) -> tuple[float, float]:
+    """Return the CPU seconds and the resident MiB at the time of the log line `started`."""
     env = {**os.environ, "NODE_CONFIG": str(config), "PYTHONPATH": str(tree)}
     with subprocess.Popen(
         [sys.executable, "-m", "violetstack"], cwd=tree, env=env, stdout=subprocess.PIPE
@@ -38,10 +41,10 @@
 
 
 def main() -> None:
-    asked = argparse.ArgumentParser(description=__doc__)
-    asked.add_argument("--against", help="a revision to measure by turns with this tree")
-    asked.add_argument("--plays", type=int, default=15)
-    told = asked.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--against", help="another revision, measured alternating with this one")
+    parser.add_argument("--plays", type=int, default=15)
+    arguments = parser.parse_args()
     host = {"zone": "z", "cell": 0, "state": "active", "weight": 1.0, "started_ms": 0}
     servers = [
         {**host, "id": f"h{n}", "addr": f"127.0.0.1:{2000 + n}", "kind": ("prefill", "decode")[n % 2]}
@@ -52,20 +55,25 @@
         file = Path(folder) / "config.json"
         file.write_text(json.dumps({**config, "known": {"version": 1, "full": True, "servers": servers}}))
         trees = {"here": ROOT}
-        if told.against:
-            trees[told.against] = Path(folder) / "tree"
-            trees[told.against].mkdir()
-            pack = ["git", "archive", told.against]
-            archive = subprocess.run(pack, cwd=ROOT, check=True, capture_output=True).stdout
-            subprocess.run(["tar", "-x", "-C", str(trees[told.against])], input=archive, check=True)
-        compiled = [sys.executable, "-m", "compileall", "-q", "violetstack"]
+        if arguments.against:
+            trees[arguments.against] = Path(folder) / "tree"
+            trees[arguments.against].mkdir()
+            command = ["git", "archive", arguments.against]
+            archive = subprocess.run(command, cwd=ROOT, check=True, capture_output=True).stdout
+            subprocess.run(["tar", "-x", "-C", str(trees[arguments.against])], input=archive, check=True)
+        compile_command = [sys.executable, "-m", "compileall", "-q", "violetstack"]
         for tree in trees.values():
-            subprocess.run(compiled, cwd=tree, check=True)
-        rows = [{name: start(tree, file) for name, tree in trees.items()} for _ in range(told.plays)]
+            subprocess.run(compile_command, cwd=tree, check=True)
+        samples = [
+            {name: measure_start(tree, file) for name, tree in trees.items()} for _ in range(arguments.plays)
+        ]
     for name in trees:
-        cpu = [row[name][0] for row in rows]
-        memory = [row[name][1] for row in rows]
-        print(f"{name}: {median(cpu):.2f} s of CPU (least {min(cpu):.2f}), {median(memory):.1f} MiB at ready")
+        cpu_s = [sample[name][0] for sample in samples]
+        memory_mib = [sample[name][1] for sample in samples]
+        print(
+            f"{name}: {median(cpu_s):.2f} s of CPU (minimum {min(cpu_s):.2f}), "
+            f"{median(memory_mib):.1f} MiB when started"
+        )
 
 
 if __name__ == "__main__":
