--- a/violetstack/rehearsal/fleet/campaign.py
+++ b/violetstack/rehearsal/fleet/campaign.py
@@ -1,7 +1,7 @@
-"""Plays one case of the fault campaign: real dispatchers between scripted clients, hosts and discovery.
+"""Runs one case of the fault campaign: real dispatchers with scripted clients, hosts and discovery.
 
-Everything is drawn from the case's seed; how events interleave in real time is not, so a case that is played
-again may take another course.
+All inputs are drawn from the case's seed. The interleaving of events in real time is not, so the same case
+may take a different course when it is repeated.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 
 
 class SimulatedPeers:
-    """The stand-ins of a case, and the measure of how late they are."""
+    """The simulated hosts and discovery agents of a case, and the measurement of their scheduling delay."""
 
     def __init__(self, state: CaseState) -> None:
         self._state = state
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Starts the hosts, and an agent of discovery for each dispatcher."""
+        """Starts the hosts, and one discovery agent for each dispatcher."""
         state = self._state
         message = state.deployment.message
         report = message["report"]
@@ -57,24 +57,30 @@
             await nursery.start(agent.serve)
 
     async def measure_lag(self) -> None:
-        """How late the peers are, and how long dispatchers waited for a processor within a second."""
+        """Keeps measuring how late this process runs and how long dispatchers wait for a processor.
+
+        Both maxima go into the state: `lag_s` is the delay of a timer in this process, `starved_s` the mean
+        wait of a dispatcher within PROCESSOR_WAIT_WINDOW_S. Runs until cancelled.
+        """
         state = self._state
         waits: deque[tuple[float, float]] = deque()
         while True:
-            before = state.now()
-            waited_s = sum(each.program.processor_wait_s() for each in state.dispatchers)
+            measured_from = state.now()
+            total_wait_s = sum(dispatcher.program.processor_wait_s() for dispatcher in state.dispatchers)
             await trio.sleep(LAG_INTERVAL_S)
-            state.lag_s = max(state.lag_s, state.now() - before - LAG_INTERVAL_S)
-            more_s = sum(each.program.processor_wait_s() for each in state.dispatchers) - waited_s
-            waits.append((before, more_s / len(state.dispatchers)))
-            while waits[0][0] < before - PROCESSOR_WAIT_WINDOW_S:
+            state.lag_s = max(state.lag_s, state.now() - measured_from - LAG_INTERVAL_S)
+            added_wait_s = (
+                sum(dispatcher.program.processor_wait_s() for dispatcher in state.dispatchers) - total_wait_s
+            )
+            waits.append((measured_from, added_wait_s / len(state.dispatchers)))
+            while waits[0][0] < measured_from - PROCESSOR_WAIT_WINDOW_S:
                 waits.popleft()
-            state.starved_s = max(state.starved_s, sum(each for _, each in waits))
+            state.starved_s = max(state.starved_s, sum(wait_s for _, wait_s in waits))
             state.evidence.lag_s = max(state.lag_s, state.starved_s)
 
 
 class CampaignCase:
-    """One case, from the start of its processes to the judgement."""
+    """One case, from the start of its processes to the audit."""
 
     def __init__(self, seed: int, duration_s: float, root: Path = ROOT) -> None:
         self._duration_s = duration_s
@@ -109,5 +115,5 @@
 
 
 def play_case(seed: int, duration_s: float = 4.0, root: Path = ROOT) -> CaseResult:
-    """Plays the case of this seed; clients send for `duration_s`."""
+    """Runs the case of this seed; clients send requests for `duration_s` seconds."""
     return trio.run(CampaignCase(seed, duration_s, root).run)
--- a/violetstack/rehearsal/fleet/campaign_client.py
+++ b/violetstack/rehearsal/fleet/campaign_client.py
@@ -1,4 +1,4 @@
-"""One client request on real sockets, as its script wants it, written down for the auditor."""
+"""Sends one client request on a real socket as its script says, and records it for the socket audit."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 READ_SIZE = 64 * 1024
 MAX_STREAM_DURATION_S = 7.0
-"""No stream here takes longer; one that its host stopped is to be cut by then."""
+"""No stream takes longer; the dispatcher has to cut a stalled one by then."""
 LATE_ANSWER_WAIT_S = 0.5
-"""After the time at which an answer is lost, to tell a late one from none."""
+"""How long a client waits beyond the latest time of an answer, to tell a late answer from none."""
 FRAGMENT_PAUSE_S = 0.03
 CONNECT_TIMEOUT_S = 3.0
 READY_REQUEST = b"GET /-/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n"
@@ -34,25 +34,29 @@
 SLOW_RECEIVE_BUFFER = 4096
 SLOW_READ_SIZE = 1000
 SLOW_READ_PAUSE_S = 0.02
-"""A client that reads slowly takes 50 KB a second."""
+"""With these values, a slow reader reads 50 KB per second."""
 INCOMPLETE_REQUEST_WAIT_S = 3.0
-"""For how long a client reads on that has ended its sending within its request."""
+"""How long a client keeps reading that has sent only part of its request head."""
 
 
 class NotAcceptedError(Exception):
-    """No connection to the dispatcher came up: it has not taken the request."""
+    """The dispatcher accepted no connection, or closed it before anything was sent."""
 
 
 @dataclass
 class ClientConnection:
-    """One connection to a dispatcher, and what h11 knows of it."""
+    """One connection to a dispatcher, with its HTTP state."""
 
     stream: trio.SocketStream
     http: h11.Connection
 
     @classmethod
     async def open(cls, address: Address, *, reads_slowly: bool = False) -> ClientConnection:
-        """Raises NotAcceptedError."""
+        """Connects to a dispatcher.
+
+        Raises:
+            NotAcceptedError: No connection was established within CONNECT_TIMEOUT_S.
+        """
         buffer_bytes = SLOW_RECEIVE_BUFFER if reads_slowly else None
         try:
             with trio.fail_after(CONNECT_TIMEOUT_S):
@@ -66,7 +70,7 @@
 
 @dataclass(frozen=True)
 class ClientMessage:
-    """What a client writes."""
+    """A request, with its body."""
 
     request: h11.Request
     body: bytes
@@ -74,20 +78,20 @@
 
 @dataclass(frozen=True)
 class PipelinedRequest:
-    """A request that is written on a connection whose stream goes on."""
+    """A request that is sent on a connection whose previous response is still streaming."""
 
     exchange: ClientExchange
     message: ClientMessage
 
     def encode(self) -> bytes:
-        """Its bytes."""
+        """Returns the bytes of the request."""
         writer = h11.Connection(h11.CLIENT)
         head = writer.send(self.message.request) or b""
         return head + self.message.body
 
 
 class ClientCall:
-    """Writes one request and reads its answer; the script may have the client leave in between."""
+    """Sends one request and reads its answer; the script may make the client disconnect in between."""
 
     def __init__(
         self,
@@ -100,16 +104,16 @@
         idle_s: float = 0.0,
         pipelined: PipelinedRequest | None = None,
     ) -> None:
-        """Takes what the client sends.
+        """Prepares the call.
 
         Args:
             connection: An open connection.
-            exchange: Where it is written down.
-            script: What befalls the request.
+            exchange: The record of the request, which the call completes.
+            script: The faults of the request.
             message: The request.
-            clock: Seconds of the run.
-            idle_s: How long a client that connects early rests before its request.
-            pipelined: What it writes while its stream goes on.
+            clock: Returns the seconds of the run.
+            idle_s: How long a client that connects early waits before it sends its request.
+            pipelined: The request that the client sends while its stream is in progress.
         """
         self.connection = connection
         self._exchange = exchange
@@ -121,14 +125,14 @@
         self._pipelined = pipelined
         self.reusable = False
         self.idled = False
-        """The connection was idle before its first request."""
+        """Whether the connection was idle before its first request."""
         self._ended = False
 
     async def run(self) -> None:
-        """Returns once the answer has ended, the connection has, or the client has left.
+        """Returns once the answer or the connection has ended, or the client has disconnected.
 
         Raises:
-            NotAcceptedError: The connection ended before anything was written to it.
+            NotAcceptedError: The connection ended before anything was sent on it.
         """
         not_accepted: NotAcceptedError | None = None
         async with trio.open_nursery() as nursery:
@@ -144,7 +148,7 @@
                 except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
                     self._record_server_close()
                 except h11.RemoteProtocolError as error:
-                    self._exchange.trailing_bytes += f"no HTTP: {error}".encode()
+                    self._exchange.trailing_bytes += f"invalid HTTP: {error}".encode()
                     self._record_server_close()
                 except NotAcceptedError as error:
                     not_accepted = error
@@ -154,10 +158,10 @@
         if not_accepted is not None:
             raise not_accepted
 
-    # --- writing ---
+    # --- sending ---
 
     async def _send_pipelined(self, pipelined: PipelinedRequest) -> None:
-        """Writes on the connection while the stream goes on, a whole request or half of one."""
+        """Sends the pipelined request, or half of it, while the stream is in progress."""
         await self._script.reached[RequestStage.STREAMING].wait()
         await trio.sleep(self._script.second_request_delay_s)
         data = pipelined.encode()
@@ -176,7 +180,7 @@
         body = http.send(h11.Data(data=self._message.body)) or b""
         http.send(h11.EndOfMessage())
         if self._exchange.pipelined_after is not None:
-            return  # it was written behind another
+            return  # it has been sent already, pipelined behind another request
         data = head + body
         if self._script.behaviour is ClientBehaviour.CONNECTS_EARLY and not self._exchange.reused_connection:
             await self._stay_idle()
@@ -201,16 +205,20 @@
         self._script.reach(RequestStage.WAITING)
 
     async def _stay_idle(self) -> None:
-        """Rests before its first request; a connection that the dispatcher has ended is not written to."""
+        """Waits on the new connection before its first request.
+
+        Raises:
+            NotAcceptedError: The dispatcher has closed the connection meanwhile.
+        """
         self.idled = True
         await trio.sleep(self._idle_s)
         if self.connection.stream.socket.is_readable():
-            raise NotAcceptedError("the connection ended before its first request")
+            raise NotAcceptedError("the dispatcher closed the connection before its first request")
 
     def _disconnects_at(self, stage: RequestStage) -> bool:
         return self._script.client_disconnect is not None and self._script.client_disconnect[0] is stage
 
-    # --- reading ---
+    # --- receiving ---
 
     async def _read_answer(self) -> None:
         exchange = self._exchange
@@ -233,7 +241,7 @@
         exchange.waited_until = self._clock()
 
     def _stream_time_limit(self) -> float:
-        """When its stream should have ended, however its host and its dispatcher fared."""
+        """Returns when the stream has to be over, whatever happened to its host and its dispatcher."""
         stream_began_at = self._exchange.first_byte_at
         assert stream_began_at is not None
         return max(stream_began_at, self._exchange.paused_until) + MAX_STREAM_DURATION_S
@@ -280,7 +288,7 @@
         self.reusable = http.our_state is h11.DONE and http.their_state is h11.DONE
 
     def _handle_eof(self) -> None:
-        """The end of the connection is the end of an answer without a length, and breaks any other."""
+        """Handles the end of the connection: it completes an answer without a length and breaks any other."""
         with suppress(h11.RemoteProtocolError):
             self._handle_event(self.connection.http.next_event())
         self._record_server_close()
@@ -290,7 +298,7 @@
         if self._exchange.client_closed_at is None and self._exchange.server_closed_at is None:
             self._exchange.server_closed_at = self._clock()
 
-    # --- leaving ---
+    # --- disconnecting ---
 
     async def _disconnect(self) -> None:
         disconnect = self._script.client_disconnect
--- a/violetstack/rehearsal/fleet/campaign_environment.py
+++ b/violetstack/rehearsal/fleet/campaign_environment.py
@@ -1,4 +1,4 @@
-"""Faults of the environment: of hosts as a whole, discovery, processes and descriptors."""
+"""Injects environment faults: of whole hosts, discovery, processes and file descriptors."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 COMPLETE_LIST_INTERVAL_S = 0.1
 FLOOD_RECOVERY_S = 0.4
 RELOAD_TIME_S = 0.2
-"""A configuration is read again within this time."""
+"""The time within which a dispatcher reloads its configuration after SIGHUP."""
 
 
 class EnvironmentFaults:
-    """Carries out the drawn faults."""
+    """Injects the drawn faults."""
 
     def __init__(self, state: CaseState, processes: DispatcherProcesses) -> None:
         self._state = state
         self._processes = processes
 
     async def inject(self, event: EnvironmentEvent) -> None:
+        """Waits for the event's time, injects its fault and records when it was in force."""
         await trio.sleep(max(0.0, event.at - self._state.now()))
         began_at = self._state.now()
         if event.fault.name.startswith("HOST"):
@@ -76,7 +77,7 @@
         agent.hang_up()
 
     async def _exhaust_descriptors(self, dispatcher: Dispatcher, duration_s: float) -> None:
-        """Idle clients take every descriptor that they can get."""
+        """Uses up the dispatcher's descriptors by idle connections, which are closed after `duration_s`."""
         dispatcher.begin_flood(self._state.now())
         streams = []
         with trio.move_on_after(duration_s):
--- a/violetstack/rehearsal/fleet/campaign_faults.py
+++ b/violetstack/rehearsal/fleet/campaign_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a campaign: what clients, hosts, processes and discovery do, and which pairs are to meet."""
+"""The faults of the campaign, by clients, hosts, processes and discovery, and the drawing of their pairs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestStage(Enum):
-    """How far a request has come when its client acts."""
+    """How far a request has come when its client disconnects."""
 
     SENDING_HEAD = "head in pieces"
     QUEUED = "queued in the kernel"
@@ -24,7 +24,7 @@
 
 
 class DisconnectMethod(Enum):
-    """How a client leaves."""
+    """How a client ends its connection."""
 
     CLOSE = "close"
     HALF_CLOSE = "half-close"
@@ -32,7 +32,7 @@
 
 
 class ClientBehaviour(Enum):
-    """How a client writes its request."""
+    """How a client sends its requests."""
 
     PLAIN = "plain"
     SENDS_IN_FRAGMENTS = "in pieces"
@@ -47,7 +47,7 @@
 SENDS_DURING_STREAM = frozenset(
     {ClientBehaviour.SENDS_REQUEST_DURING_STREAM, ClientBehaviour.SENDS_HALF_REQUEST_DURING_STREAM}
 )
-"""Habits of clients that write on a connection whose stream goes on."""
+"""Behaviours of clients that send on a connection whose response is still streaming."""
 SLOW_READER_SHARE = 0.3
 FAULT_FREE_BEHAVIOURS = (
     ClientBehaviour.PLAIN,
@@ -59,12 +59,12 @@
     ClientBehaviour.SENDS_NEXT_REQUEST_AT_ONCE,
     ClientBehaviour.SENDS_NEXT_REQUEST_AT_ONCE,
 )
-"""Of clients whose requests meet no fault of their own."""
+"""Behaviours of clients whose requests have no fault of their own, by weight."""
 LONG_STREAM_SHARE = 0.5
 
 
 class HostFault(Enum):
-    """What a host does to an attempt."""
+    """How a host mishandles an attempt."""
 
     NONE = "none"
     SLOW = "slow"
@@ -88,7 +88,7 @@
 
 
 class EnvironmentFault(Enum):
-    """What befalls a dispatcher's process, a host as a whole, or discovery, while requests go on."""
+    """Faults of a dispatcher's process, a whole host or discovery while requests are in progress."""
 
     HOST_REFUSES = "host refuses"
     HOST_CONNECTS_LATE = "host connects late"
@@ -115,28 +115,30 @@
         HostFault.ENDLESS_CHUNK,
     }
 )
-"""The stream that the client gets is not complete."""
+"""Faults that leave the client's stream incomplete."""
 
 DISCONNECT_DELAYS_S = (0.0, 0.0, 0.0, 0.001, 0.004, 0.015, 0.06)
-"""Between a stage and the client's end."""
+"""The delay between the stage and the client's disconnect."""
 ClientDisconnect = tuple[RequestStage, DisconnectMethod]
 CLIENT_DISCONNECTS: tuple[ClientDisconnect, ...] = tuple(product(RequestStage, DisconnectMethod))
 FAULT_FREE_SHARE = 0.45
-"""Of requests that meet no fault of their own: they are to be served beside the others."""
+"""The share of requests without a fault of their own; they have to be served beside the others."""
 CLIENT_DISCONNECT_SHARE = 0.5
 FURTHER_FAULT_SHARE = 0.3
 
 
 @dataclass
 class RequestScript:
-    """What befalls one request, and how far it has come.
+    """The faults of one request, and its progress.
 
     Attributes:
-        host_faults: By attempt number at hosts, prefills included; later attempts meet none.
-        reached: Set by the host or client that takes the request to the stage.
-        occurred_faults: Names of the faults that took place.
-        reads_slowly: The client takes little at a time, and its stream is longer.
-        second_request_delay_s: After the first event, until it writes on the connection again.
+        client_disconnect: When and how the client disconnects; None if it does not.
+        host_faults: The faults by number of the attempt, prefills included; further attempts have none.
+        disconnect_delay_s: The time between the stage of `client_disconnect` and the disconnect.
+        reached: Set by the host or client that brings the request to the stage.
+        occurred_faults: The names of the faults that have occurred.
+        reads_slowly: The client reads little at a time, and its stream is longer.
+        second_request_delay_s: The time from the first event to the client's next request on the connection.
     """
 
     client_disconnect: ClientDisconnect | None
@@ -152,7 +154,7 @@
     second_request_delay_s: float = 0.0
 
     def next_host_fault(self) -> HostFault:
-        """The fault of the attempt that begins now."""
+        """Returns the fault of the attempt that begins now."""
         number = self.attempts_begun
         self.attempts_begun += 1
         return self.host_faults[number] if number < len(self.host_faults) else HostFault.NONE
@@ -163,7 +165,7 @@
 
 @dataclass(frozen=True)
 class EnvironmentEvent:
-    """A fault of the environment, `target` being a dispatcher's or a host's number."""
+    """An environment fault; `target` is the number of a dispatcher or host."""
 
     at: float
     duration_s: float
@@ -177,11 +179,13 @@
 
 
 class ScriptSource:
-    """Draws the scripts of a case's requests; client ends and host faults are paired in a fixed rotation."""
+    """Draws the scripts of a case's requests, with client disconnects and host faults paired in rotation."""
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(f"scripts {seed}")
-        pairs = list(product(CLIENT_DISCONNECTS, [each for each in HostFault if each is not HostFault.NONE]))
+        pairs = list(
+            product(CLIENT_DISCONNECTS, [fault for fault in HostFault if fault is not HostFault.NONE])
+        )
         random.Random("pairs").shuffle(pairs)
         self._pairs: Sequence[tuple[ClientDisconnect, HostFault]] = pairs
         self._next = seed * 31 % len(pairs)
@@ -203,7 +207,7 @@
         )
 
     def _draw_fault_free(self) -> RequestScript:
-        """No fault of its own; some clients go on with the connection, and some of their streams are long."""
+        """Draws a script without faults; some clients reuse the connection, some with long streams."""
         rng = self._rng
         behaviour = rng.choice(FAULT_FREE_BEHAVIOURS)
         long_stream = behaviour is not ClientBehaviour.PLAIN and rng.random() < LONG_STREAM_SHARE
@@ -217,12 +221,15 @@
         )
 
     def _draw_host_faults(self, fault: HostFault) -> tuple[HostFault, ...]:
-        """At the first attempt (a prefill, if there are prefill hosts) or the second, and often at others."""
+        """Places the fault at the first attempt or the second, and often further faults at later attempts.
+
+        The first attempt is a prefill if there are prefill hosts.
+        """
         rng = self._rng
-        others = [each for each in HostFault if each is not HostFault.SLOW]
+        other_faults = [other for other in HostFault if other is not HostFault.SLOW]
         faults = [HostFault.NONE] * rng.randint(0, 1) + [fault]
         while rng.random() < FURTHER_FAULT_SHARE:
-            faults.append(rng.choice(others))
+            faults.append(rng.choice(other_faults))
         return tuple(faults)
 
 
@@ -238,7 +245,7 @@
 
 
 def draw_environment(seed: int, duration_s: float, dispatchers: int, hosts: int) -> list[EnvironmentEvent]:
-    """One to three faults, in a rotation by the seed so that every pair of them comes up."""
+    """Draws one to three faults, in a rotation by the seed so that each pair of faults is drawn."""
     rng = random.Random(f"environment {seed}")
     faults = list(EnvironmentFault)
     first = faults[seed % len(faults)]
--- a/violetstack/rehearsal/fleet/campaign_host.py
+++ b/violetstack/rehearsal/fleet/campaign_host.py
@@ -1,4 +1,4 @@
-"""A model host that does to each attempt what the request's script says, and writes down what came."""
+"""A model host that injects the faults of each request's script, and records the attempts it receives."""
 
 from __future__ import annotations
 
@@ -34,29 +34,32 @@
 LISTEN_BACKLOG = 128
 ACCEPT_QUEUE_FILLERS = 3
 QUEUED_CONNECTION_S = 0.5
-"""Connections that are accepted this soon after `resume_connecting` may have come up before."""
+"""Connections accepted within this time after `resume_connecting` may have been established before."""
 READ_STALL_S = 0.45
 RECEIVE_BUFFER_BYTES = 64 * 1024
-"""Small, so that a host that does not read stops the dispatcher in the middle of a large request."""
+"""Small, so that a dispatcher cannot send all of a large request to a host that does not read."""
 SECOND_RESPONSE_DELAYS_S = (0.0, 0.002, 0.01, 0.05)
 SLOW_READER_PADDING = "x" * 5000
-"""In each event for a client that reads slowly: the stream does not fit into its buffer."""
+"""Part of each event for a slow reader, so that the stream does not fit into its receive buffer."""
 ENDLESS_SEND_S = 8.0
 STATE_LEAVING_FAULTS = frozenset({HostFault.RESET_BEFORE_EVENT, HostFault.CLOSE_BEFORE_EVENT})
-"""A prefill that ends so may have ended well. What a prefill leaves that was given up goes by itself."""
+"""Faults after which a prefill may have succeeded, so that its state is held.
+
+A host discards the state of an abandoned prefill on its own.
+"""
 FAULTS_ANSWERED_BY_STATUS = frozenset({HostFault.DECLINE, HostFault.STATE_GONE, HostFault.ERROR})
-"""The attempt is over before its answer is written: what follows from the answer finds it ended."""
+"""Faults whose attempt ends before its answer is sent, so that it has ended when the answer arrives."""
 
 
 def unread_bytes(sock: trio.socket.SocketType) -> int:
-    """How much lies in the socket's receive buffer."""
+    """Returns the number of bytes in the socket's receive buffer."""
     buffer = array("i", [0])
     fcntl.ioctl(sock.fileno(), termios.FIONREAD, buffer)
     return buffer[0]
 
 
 class CampaignHost(Peer):
-    """One model host. Its own faults (refusing, late connections) are set by the campaign."""
+    """One model host. The campaign makes it refuse connections, not establish them, freeze or hang."""
 
     def __init__(
         self,
@@ -75,7 +78,7 @@
         self.state = "active"
         self.refuses_reservations = False
         self.hanging = False
-        """Attempts that come get no answer."""
+        """Whether new attempts get no answer."""
         self._evidence = evidence
         self._scripts = scripts
         self._clock = clock
@@ -124,21 +127,21 @@
         self._listening = trio.socket.from_stdlib_socket(raw)
 
     def refuse_connections(self) -> None:
-        """New connections are refused, and those that are open break."""
+        """Refuses new connections and breaks the open ones."""
         self.die()
         self._listening.close()
 
     def stop_refusing(self) -> None:
-        """Ends `refuse_connections`."""
+        """Ends the effect of `refuse_connections`."""
         self._listen()
         self._resumed.set()
 
     def stop_connecting(self) -> None:
-        """New connections do not come up until `resume_connecting`: the accept queue is full."""
+        """Fills the accept queue, so that no new connection is established until `resume_connecting`."""
         self._accepting.cancel()
         self._stopped_at = self._clock()
         if self._listening.fileno() < 0:
-            return  # it refuses at the moment
+            return  # it refuses connections at the moment
         self._listening.listen(0)
         for _ in range(ACCEPT_QUEUE_FILLERS):
             filler = socket.socket()
@@ -147,7 +150,7 @@
             self._filler_sockets.append(filler)
 
     def resume_connecting(self) -> None:
-        """Ends `stop_connecting`; connections that wait come up with their next SYN."""
+        """Ends the effect of `stop_connecting`; waiting connections are established by their next SYN."""
         for filler in self._filler_sockets:
             filler.close()
         self._filler_sockets.clear()
@@ -157,15 +160,15 @@
         self._resumed.set()
 
     def freeze(self) -> None:
-        """Connections and bytes are taken as before, and nothing is begun until `thaw`."""
+        """Accepts connections and data as before, but begins no request until `thaw`."""
         self._gate.freeze()
 
     def thaw(self, *, resets: bool) -> None:
-        """Goes on with what has come, or resets the connections on which it came."""
+        """Begins the requests received meanwhile, or resets their connections if `resets` is set."""
         self._gate.thaw(resets=resets)
 
     def hang_up(self) -> None:
-        """Breaks every connection, and so every stream that has not ended."""
+        """Breaks every connection, and thereby every unfinished stream."""
         for attempt in self._evidence.attempts:
             streaming = attempt.closed_at is None and attempt.stream_ended_at is None
             if attempt.host == self.name and streaming:
@@ -175,7 +178,10 @@
     # --- connections ---
 
     async def _serve_connection(self, raw: trio.SocketStream, queued_since: float | None) -> None:
-        """`queued_since`: what lies in the socket may have come at any time since then."""
+        """Serves one connection.
+
+        `queued_since`: data in the socket may have arrived at any time since then; None if it arrives now.
+        """
         with trio.CancelScope() as scope:
             self.connections.add(scope)
             try:
@@ -258,7 +264,7 @@
     async def _run_attempt(
         self, wire: Wire, attempt: HostAttempt, fault: HostFault, script: RequestScript | None
     ) -> None:
-        """Responds to an attempt that has begun, and notes its end, however it comes."""
+        """Responds to an attempt that has begun, and records its end, whatever the cause."""
         self._evidence.attempts.append(attempt)
         self._hold_recorder.attempt_begun(attempt)
         if script is not None:
@@ -272,7 +278,7 @@
                 attempt.closed_at = self._clock()
 
     def _earliest_arrival(self, request_id: str, queued_since: float | None) -> float | None:
-        """When an attempt on a connection that was queued may have come; None for now."""
+        """Returns the earliest possible arrival of an attempt on a queued connection; None if it is now."""
         exchange = self._evidence.exchanges.get(request_id)
         if queued_since is None or exchange is None or exchange.sent_at is None:
             return queued_since
@@ -281,7 +287,7 @@
     async def _until_closed(
         self, wire: Wire, attempt: HostAttempt, respond: Callable[[], Awaitable[None]]
     ) -> None:
-        """Runs the response, and notes at once when the dispatcher ends the connection."""
+        """Sends the response, and records at once if the dispatcher closes the connection."""
         closed = False
 
         async def watch(scope: trio.CancelScope) -> None:
@@ -291,7 +297,7 @@
                 await trio.lowlevel.wait_readable(sock)
                 ended = not await sock.recv(1, socket.MSG_PEEK)
             except (OSError, ValueError, trio.ClosedResourceError):
-                ended = True  # a ValueError: the response has closed it already
+                ended = True  # ValueError: the response has already closed the socket
             if ended:
                 closed = True
                 attempt.closed_at = self._clock()
@@ -337,7 +343,7 @@
         await self._after_response(wire, fault, is_prefill)
 
     async def _inject_response_fault(self, wire: Wire, attempt: HostAttempt, fault: HostFault) -> bool:
-        """Carries out a fault that leaves no proper response; False if a response follows."""
+        """Injects a fault that replaces the response; returns False if a response has to follow."""
         if fault in STATE_LEAVING_FAULTS | FAULTS_ANSWERED_BY_STATUS:
             self._hold_recorder.attempt_ended(attempt, leaves_state=fault in STATE_LEAVING_FAULTS)
         match fault:
@@ -447,7 +453,7 @@
         await wire.send(message(f"HTTP/1.1 {status} .", headers, body))
 
     def row(self, started_ms: float = 0.0) -> dict[str, object]:
-        """Its entry in discovery's list."""
+        """Returns its entry of the endpoint list."""
         return {
             "id": self.name,
             "addr": self.address,
--- a/violetstack/rehearsal/fleet/campaign_processes.py
+++ b/violetstack/rehearsal/fleet/campaign_processes.py
@@ -1,4 +1,4 @@
-"""Starts, kills and restarts the dispatcher processes of one case."""
+"""Starts, stops, kills and restarts the dispatcher processes of one case."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 START_TIMEOUT_S = 30.0
 NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.3
 LATE_REQUEST_S = 0.7
-"""A request that comes later than this after SIGTERM is lost if SIGKILL finds it unanswered."""
+"""A request sent later than this after SIGTERM counts as lost if SIGKILL finds it unanswered."""
 MAX_DRAIN_S = 3.0
 RESUME_GRACE_S = 0.5
-"""A process that was stopped may take this long to work off what came in meanwhile."""
+"""The time that a process has after SIGCONT to handle the input that arrived during the stop."""
 POLL_INTERVAL_S = 0.02
 
 
 def _prepare_nothing(_: Program) -> None:
-    """For programs that need no preparation."""
+    """The default, for programs that need no preparation."""
 
 
 class DispatcherProcesses:
-    """What happens to dispatchers, and which requests a killed one owes no answer for."""
+    """Controls the dispatcher processes, and records which requests a killed process need not answer."""
 
     def __init__(self, state: CaseState, prepare: Callable[[Program], None] = _prepare_nothing) -> None:
         """`prepare` is called with each program before its first start."""
@@ -43,7 +43,7 @@
         self._starts = 0
 
     async def start_all(self) -> None:
-        """Returns once each is ready."""
+        """Starts all dispatchers, and returns once each is ready."""
         for number in range(self._state.deployment.dispatcher_count):
             address = loopback_address(number, LISTEN_PORT)
             limits = Plan(seed=self._state.seed, sockets=SOCKET_LIMIT)
@@ -70,7 +70,9 @@
         start_deadline = self._state.now() + START_TIMEOUT_S
         while not dispatcher.accepting:
             if self._state.now() > start_deadline:
-                self._state.crashed.append(f"dispatcher {dispatcher.program.number} was not ready in time")
+                self._state.crashed.append(
+                    f"dispatcher {dispatcher.program.number} was not ready within {START_TIMEOUT_S:g} s"
+                )
                 return
             try:
                 with trio.fail_after(0.5):
@@ -98,7 +100,7 @@
         }
 
     async def kill(self, dispatcher: Dispatcher, down_s: float) -> None:
-        """SIGKILL, and a new start later."""
+        """Sends SIGKILL, and starts the process again after `down_s` seconds."""
         self._record_crash(dispatcher)
         self._kill(dispatcher, since=math.inf)
         await trio.sleep(down_s)
@@ -106,7 +108,7 @@
         await self.await_ready(dispatcher)
 
     async def restart(self, dispatcher: Dispatcher) -> None:
-        """SIGTERM, SIGKILL where it may come, and a new start."""
+        """Sends SIGTERM, then SIGKILL once the time allowed for the shutdown is over, and starts it again."""
         program = dispatcher.program
         self._record_crash(dispatcher)
         program.wanted = False
@@ -123,6 +125,7 @@
         await self.await_ready(dispatcher)
 
     async def pause(self, dispatcher: Dispatcher, duration_s: float) -> None:
+        """Stops the process with SIGSTOP for `duration_s`, and extends the deadlines of its open requests."""
         program = dispatcher.program
         if program.process is None or program.process.poll() is not None:
             return
@@ -137,7 +140,11 @@
         self._state.excuse_holds(program.number, self._state.now() + RESUME_GRACE_S)
 
     def _kill(self, dispatcher: Dispatcher, since: float) -> None:
-        """SIGKILL excuses what it finds unanswered, if that was sent before `since` and is not overdue."""
+        """Sends SIGKILL, and excuses unanswered requests that were sent by `since` and are not overdue.
+
+        So are requests that wait for an earlier response on their connection, and those that arrived while
+        the process was stopped.
+        """
         now = self._state.now()
         dispatcher.accepting = False
         if dispatcher.program.process is not None and dispatcher.program.process.poll() is None:
@@ -162,4 +169,6 @@
         code = program.process.poll() if program.process is not None else None
         if program.wanted and code is not None:
             lines = [str(line) for line in program.events()[-2:]]
-            self._state.crashed.append(f"dispatcher {program.number} ended with {code}: {' '.join(lines)}")
+            self._state.crashed.append(
+                f"dispatcher {program.number} ended with status {code}: {' '.join(lines)}"
+            )
--- a/violetstack/rehearsal/fleet/campaign_requests.py
+++ b/violetstack/rehearsal/fleet/campaign_requests.py
@@ -1,4 +1,4 @@
-"""The clients of one case: who asks which dispatcher, on which connection, and how it is written down."""
+"""The clients of one case: they choose dispatcher and connection of each request and record the exchange."""
 
 from __future__ import annotations
 
@@ -32,22 +32,23 @@
 UNCHECKED_REUSE_SHARE = 0.5
 LARGE_BODY_BYTES = 240_000
 EARLY_CONNECTION_IDLE_TIMES_S = (0.05, 0.5, 1.2, 2.1, 2.19, 2.2)
-"""Before the first request on a new connection."""
+"""How long a new connection is idle before its first request."""
 CLOSE_RACE_S = 0.05
-"""On loopback a request and the end of its connection cross within this time."""
+"""A request and the close of its connection can cross on the loopback interface within this time."""
 
 
 class CaseClients:
-    """An open loop of clients; each request meets what its script says."""
+    """Clients that send requests in an open loop, each with the faults of its script."""
 
     def __init__(self, state: CaseState, rate: float = REQUESTS_PER_DISPATCHER_S) -> None:
-        """`rate`: requests a second for each dispatcher."""
+        """`rate` is in requests per second for each dispatcher."""
         self._state = state
         self._rate = rate
         self._rng = random.Random(f"clients {state.seed}")
         self._source = ScriptSource(state.seed)
 
     async def send_requests(self, nursery: trio.Nursery, duration_s: float) -> None:
+        """Starts requests in the nursery for `duration_s` seconds."""
         rate = self._rate * self._state.deployment.dispatcher_count
         number = 0
         at = 0.0
@@ -97,8 +98,12 @@
         return ClientMessage(h11.Request(method="POST", target="/v1/chat/completions", headers=headers), body)
 
     def _choose_dispatcher(self, rng: random.Random) -> Dispatcher | None:
-        """One that takes new connections, or still has kept ones."""
-        candidates = [each for each in self._state.dispatchers if each.accepting or each.idle_connections]
+        """Returns a dispatcher that accepts connections or has idle ones; None if there is none."""
+        candidates = [
+            dispatcher
+            for dispatcher in self._state.dispatchers
+            if dispatcher.accepting or dispatcher.idle_connections
+        ]
         return rng.choice(candidates) if candidates else None
 
     async def _run_exchange(
@@ -137,21 +142,21 @@
     def _new_pipelined_request(
         self, rng: random.Random, exchange: ClientExchange, script: RequestScript, dispatcher: Dispatcher
     ) -> PipelinedRequest | None:
-        """What the client writes on the connection while its stream goes on, if that is its behaviour."""
+        """Returns the request to send during the stream, or None if the client's behaviour has none."""
         if script.behaviour not in SENDS_DURING_STREAM:
             return None
-        plain = RequestScript(None, ClientBehaviour.PLAIN, (), 0.0, reads_slowly=script.reads_slowly)
-        second = self._new_exchange(rng, f"{exchange.id}b", plain, dispatcher)
+        fault_free = RequestScript(None, ClientBehaviour.PLAIN, (), 0.0, reads_slowly=script.reads_slowly)
+        second = self._new_exchange(rng, f"{exchange.id}b", fault_free, dispatcher)
         second.pipelined_after = exchange
-        return PipelinedRequest(second, self._new_message(rng, second, plain))
+        return PipelinedRequest(second, self._new_message(rng, second, fault_free))
 
     async def _read_pipelined_answer(
         self, call: ClientCall, pipelined: PipelinedRequest, first: ClientExchange
     ) -> None:
-        """Reads the answer to a request that was written behind another, if one is owed."""
+        """Reads the answer to a pipelined request, unless the connection has ended before it."""
         second = pipelined.exchange
         if not call.reusable:
-            # The answer before it has announced the end, or never came whole: that is judged there.
+            # The previous answer announced the close, or was incomplete: the audit checks that exchange.
             second.excused = second.excused or "behind the connection's end"
             return
         call.connection.http.start_next_cycle()
@@ -167,7 +172,7 @@
     async def _send_next_request(
         self, rng: random.Random, call: ClientCall, first: ClientExchange, dispatcher: Dispatcher
     ) -> ClientCall:
-        """Asks once more on the connection in the moment in which its answer has ended."""
+        """Sends another request on the connection as soon as the answer has ended."""
         script = RequestScript(None, ClientBehaviour.PLAIN, (), 0.0, reads_slowly=first.reads_slowly)
         second = self._new_exchange(rng, f"{first.id}n", script, dispatcher)
         second.reused_connection = True
@@ -188,9 +193,9 @@
         return next_call
 
     def _raced_with_close(self, exchange: ClientExchange, call: ClientCall) -> bool:
-        """Whether the dispatcher ended an idle connection while the request was on its way there.
+        """Returns whether the dispatcher closed an idle connection while the request was in transit.
 
-        One that lay unread for longer is lost: the dispatcher could have seen it.
+        A request that stayed unread for longer counts as lost, since the dispatcher had time to notice it.
         """
         if exchange.status or exchange.excused or exchange.client_closed_at is not None:
             return False
@@ -208,14 +213,14 @@
         message: ClientMessage,
         rng: random.Random,
     ) -> tuple[Dispatcher, ClientCall]:
-        """Once more, on a new connection: the kept one ended as the request was on its way."""
+        """Sends the request again on a new connection, as the idle one was closed while it was in transit."""
         exchange.resent_at = self._state.now()
         exchange.server_closed_at = None
         exchange.sent_at = None
         exchange.reused_connection = False
-        accepting = [each for each in self._state.dispatchers if each.accepting]
+        accepting = [candidate for candidate in self._state.dispatchers if candidate.accepting]
         if not accepting:
-            raise NotAcceptedError("no dispatcher takes new connections")
+            raise NotAcceptedError("no dispatcher accepts new connections")
         dispatcher = rng.choice(accepting)
         exchange.dispatcher = dispatcher.program.number
         connection = await ClientConnection.open(dispatcher.program.at)
@@ -228,7 +233,7 @@
         while dispatcher.idle_connections and may_reuse:
             connection, last_exchange = dispatcher.idle_connections.pop()
             if connection.stream.socket.fileno() < 0:
-                continue  # closed by this client meanwhile
+                continue  # this client has closed it meanwhile
             if connection.stream.socket.is_readable() and rng.random() > UNCHECKED_REUSE_SHARE:
                 self._read_unsolicited_data(connection, last_exchange)
                 connection.close()
@@ -238,12 +243,12 @@
         return None
 
     def _read_unsolicited_data(self, connection: ClientConnection, last_exchange: ClientExchange) -> None:
-        """What lies on an idle connection is its end, or an answer that nobody asked for."""
+        """Records data on an idle connection, which can only be an answer without a request, or its end."""
         with suppress(OSError), socket.socket(fileno=os.dup(connection.stream.socket.fileno())) as copy:
             last_exchange.trailing_bytes += copy.recv(READ_SIZE, socket.MSG_DONTWAIT)
 
     def _excuse_if_flooded(self, dispatcher: Dispatcher, exchange: ClientExchange) -> None:
-        """With the descriptors full, new connections may be closed unread."""
+        """Excuses a new connection that was closed unread while the dispatcher had no free descriptors."""
         closed_at = exchange.server_closed_at
         flooded = dispatcher.flood_began_at <= (closed_at or 0.0) <= dispatcher.flood_ended_at
         if flooded and not exchange.reused_connection:
--- a/violetstack/rehearsal/fleet/campaign_result.py
+++ b/violetstack/rehearsal/fleet/campaign_result.py
@@ -1,4 +1,4 @@
-"""What one case came to: violations with the course of their requests, and the pairs of faults that met."""
+"""The result of one case: violations with the timelines of their requests, and coinciding faults."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ViolationReport(msgspec.Struct):
-    """One violation, with what is known of its request."""
+    """One violation, with the timeline of its request and the dispatchers' log lines about it."""
 
     rule: str
     text: str
@@ -30,13 +30,18 @@
 
 
 class CaseResult(msgspec.Struct):
-    """What one case came to.
-
-    `lag_s` is how late the observers were, `starved_s` how long the mean dispatcher waited for a processor
-    within one second: the case is void beyond MAX_LAG_S or MAX_STARVED_S. `invariants` counts the violations
-    that the dispatchers' own checks have logged, by rule, `invariant_lines` are the first of these lines;
-    `triples` are faults of the environment that
-    overlapped.
+    """The result of one case.
+
+    Attributes:
+        lag_s: The longest delay of the process that simulates clients and hosts; the case is void if it
+            exceeds MAX_LAG_S.
+        starved_s: How long a dispatcher waited for a processor within one second, on average over the
+            dispatchers; the case is void if it exceeds MAX_STARVED_S.
+        pairs: Pairs of faults that affected the same request or overlapped in time.
+        triples: Triples of environment faults that overlapped in time.
+        invariants: The number of violations that the dispatchers' own checks logged, by rule.
+        invariant_lines: The first log lines of these violations.
+        events: The number of the dispatchers' log lines, by event.
     """
 
     seed: int
@@ -57,11 +62,12 @@
 
     @property
     def void(self) -> bool:
+        """Whether the machine was too slow for a verdict."""
         return self.lag_s > MAX_LAG_S or self.starved_s > MAX_STARVED_S
 
 
 def _violated_invariant(line: dict[str, Any]) -> str:
-    """Which of its own checks a dispatcher's log line says was broken; empty if none was."""
+    """Returns the dispatcher's own rule that the log line reports as violated, or an empty text."""
     if line.get("event") == "invariant_violated":
         return str(line["rule"])
     if line.get("event") == "client_connection_violation":
@@ -70,7 +76,7 @@
 
 
 class CaseReport:
-    """Judges a case that has ended."""
+    """Audits a case that has ended and builds its result."""
 
     def __init__(self, state: CaseState) -> None:
         self._state = state
@@ -82,7 +88,7 @@
         for agent in self._state.all_agents:
             for host, times in agent.written_drains.items():
                 self._state.evidence.drains.setdefault((agent.number, host), []).extend(times)
-        found = audit(
+        violations = audit(
             self._state.deployment.settings, self._state.deployment.drain_grace_s, self._state.evidence
         )
         invariant_lines = [
@@ -95,11 +101,11 @@
         return CaseResult(
             seed=self._state.seed,
             deployment=self._state.deployment.describe(),
-            environment=[f"{each.at:.2f} {each.fault.value} {each.target}" for each in events],
+            environment=[f"{event.at:.2f} {event.fault.value} {event.target}" for event in events],
             requests=len(self._state.evidence.exchanges),
             attempts=len(self._state.evidence.attempts),
             statuses=dict(self._state.statuses),
-            violations=[self._violation_report(each, logs) for each in found],
+            violations=[self._violation_report(violation, logs) for violation in violations],
             crashed=self._state.crashed,
             lag_s=round(self._state.lag_s, 3),
             starved_s=round(self._state.starved_s, 3),
@@ -111,7 +117,10 @@
         )
 
     def _is_excused(self, line: dict[str, Any]) -> bool:
-        """Whether a dispatcher tells of a hold that it could not release: the auditor judges the rest."""
+        """Returns whether the line is about a hold that the dispatcher was unable to release.
+
+        The socket audit checks these holds.
+        """
         return line.get("rule") == INVARIANT_HELD and line["id"] in self._state.evidence.holds.excused_until
 
     def _violation_report(self, violation: Violation, logs: list[list[dict[str, Any]]]) -> ViolationReport:
@@ -133,23 +142,23 @@
         if exchange is not None:
             name = self._state.deployment.class_names[exchange.class_index]
             moments = {
-                f"sent to {exchange.dispatcher}, {name}, deadline {exchange.deadline_s}": exchange.sent_at,
-                "client ended": exchange.client_closed_at,
+                f"sent to {exchange.dispatcher}, {name}, deadline {exchange.deadline_s} s": exchange.sent_at,
+                "client disconnected": exchange.client_closed_at,
                 f"first byte of {exchange.status}": exchange.first_byte_at,
                 f"end of {exchange.status}": exchange.answered_at,
                 "dispatcher closed": exchange.server_closed_at,
-                "resent": exchange.resent_at,
+                "sent again": exchange.resent_at,
             }
             rows += [(at, text) for text, at in moments.items() if at is not None]
         for attempt in self._state.evidence.attempts:
             if attempt.request_id == request_id:
-                told = f"told {attempt.received_deadline_s}, declined {attempt.declined}"
-                rows.append((attempt.arrived_at, f"came to {attempt.host}, {told}"))
+                details = f"Req-Deadline {attempt.received_deadline_s} s, declined {attempt.declined}"
+                rows.append((attempt.arrived_at, f"attempt arrived at {attempt.host}, {details}"))
                 if attempt.closed_at is not None:
-                    rows.append((attempt.closed_at, f"over at {attempt.host}"))
+                    rows.append((attempt.closed_at, f"attempt ended at {attempt.host}"))
         rows += [
-            (began_at, f"{fault.value} {target} until {end:.3f}")
-            for fault, target, began_at, end in self._state.fault_spans
+            (began_at, f"{fault.value} {target} until {ended_at:.3f}")
+            for fault, target, began_at, ended_at in self._state.fault_spans
         ]
         shown = [f"{at:.3f} {text}" for at, text in sorted(rows)]
         if script is not None:
@@ -158,27 +167,27 @@
         return shown
 
     def _pairs(self) -> set[tuple[str, str]]:
-        """Pairs of faults that took place for one request, or while it was open."""
+        """Returns pairs of faults of one request, of a request and its environment, or of the environment."""
         found: set[tuple[str, str]] = set()
         for request_id, exchange in self._state.evidence.exchanges.items():
             script = self._state.scripts[request_id]
-            own = sorted(script.occurred_faults)
+            own_faults = sorted(script.occurred_faults)
             if script.behaviour is not ClientBehaviour.PLAIN and exchange.sent_at is not None:
-                own.append(f"client {script.behaviour.value}")
-            found.update((min(pair), max(pair)) for pair in combinations(own, 2))
-            around = [
+                own_faults.append(f"client {script.behaviour.value}")
+            found.update((min(pair), max(pair)) for pair in combinations(own_faults, 2))
+            environment_faults = [
                 fault.value
-                for fault, _, began_at, end in self._state.fault_spans
-                if self._overlaps(exchange, began_at, end)
+                for fault, _, began_at, ended_at in self._state.fault_spans
+                if self._overlaps(exchange, began_at, ended_at)
             ]
-            found.update((min(pair), max(pair)) for pair in product(own, around))
-        for one, other in combinations(self._state.fault_spans, 2):
-            if one[2] <= other[3] and other[2] <= one[3]:
-                found.add((min(one[0].value, other[0].value), max(one[0].value, other[0].value)))
+            found.update((min(pair), max(pair)) for pair in product(own_faults, environment_faults))
+        for first, second in combinations(self._state.fault_spans, 2):
+            if first[2] <= second[3] and second[2] <= first[3]:
+                found.add((min(first[0].value, second[0].value), max(first[0].value, second[0].value)))
         return found
 
     def _triples(self) -> set[tuple[str, str, str]]:
-        """Faults of the environment, three of which were in force at the same time."""
+        """Returns the triples of environment faults that were in force at the same time."""
         found = set()
         for spans in combinations(self._state.fault_spans, 3):
             if max(span.began_at for span in spans) <= min(span.ended_at for span in spans):
@@ -187,9 +196,10 @@
         return found
 
     @staticmethod
-    def _overlaps(exchange: ClientExchange, began_at: float, end: float) -> bool:
+    def _overlaps(exchange: ClientExchange, began_at: float, ended_at: float) -> bool:
+        """Returns whether the request was open between the two times."""
         if exchange.sent_at is None:
             return False
         ends = (exchange.answered_at, exchange.server_closed_at, exchange.client_closed_at)
         until = min((at for at in ends if at is not None), default=exchange.waited_until)
-        return exchange.sent_at <= end and began_at <= until
+        return exchange.sent_at <= ended_at and began_at <= until
--- a/violetstack/rehearsal/fleet/campaign_settings.py
+++ b/violetstack/rehearsal/fleet/campaign_settings.py
@@ -1,4 +1,4 @@
-"""Draws the settings of one customer's deployment from a seed."""
+"""Draws the settings and hosts of one deployment from a seed."""
 
 from __future__ import annotations
 
@@ -36,7 +36,12 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """Settings as they are written to a dispatcher's configuration, and the hosts that they describe."""
+    """The settings of a deployment, in the form of a dispatcher's configuration, and its hosts.
+
+    Attributes:
+        message: The settings object that all dispatchers share.
+        timeouts_s: The client time-out of each class, in the order of the classes.
+    """
 
     message: dict[str, Any]
     hosts: tuple[HostPlan, ...]
@@ -48,7 +53,7 @@
 
     @property
     def settings(self) -> Settings:
-        """The settings as the dispatcher decodes them."""
+        """Returns the settings as a dispatcher decodes them."""
         return decode_settings(msgspec.convert(self.message, SettingsMessage), 1)
 
     @property
@@ -60,15 +65,15 @@
         return max(self.timeouts_s)
 
     def for_dispatcher(self, number: int) -> dict[str, Any]:
-        """The settings object of one dispatcher."""
+        """Returns the settings object of the dispatcher with this number."""
         return {**self.message, "me": number, "zone": number % len(self.zones)}
 
     def describe(self) -> str:
-        """One line, for a report."""
+        """Returns a one-line summary for reports."""
         settings = self.message
         limits = settings["limits"]
         stages = settings["family_info"]
-        classes = " ".join(_describe_class(each) for each in settings["classes"])
+        classes = " ".join(_describe_class(request_class) for request_class in settings["classes"])
         switches = {
             "cancel": limits["cancel"],
             "hedge": limits["may_duplicate"],
@@ -96,9 +101,9 @@
 
 
 def draw_deployment(seed: int, dispatchers: int | None = None) -> Deployment:
-    """Settings that hold together, of any of the deployments that the protocol allows.
+    """Draws consistent settings from all deployments that the protocol allows.
 
-    `dispatchers` sets their number in place of two to four.
+    `dispatchers` sets the number of dispatchers, which is otherwise drawn from two to four.
     """
     rng = random.Random(f"deployment {seed}")
     zones = tuple(f"z{n}" for n in range(rng.randint(1, 3)))
@@ -109,8 +114,8 @@
         dispatcher_count = dispatchers
     hosts = _draw_hosts(rng, roles, zones)
     classes = _draw_classes(rng)
-    one_attempt_serves = any(role is Role.MIXED for _, role in roles)
-    timeouts_s = tuple(float(each["give_up"]) / 1000.0 for each in classes)
+    has_mixed_hosts = any(role is Role.MIXED for _, role in roles)
+    timeouts_s = tuple(float(request_class["give_up"]) / 1000.0 for request_class in classes)
     message: dict[str, Any] = {
         "classes": classes,
         "parties": [
@@ -120,23 +125,23 @@
         "kinds": [kind for kind, _ in roles],
         "zones": list(zones),
         "family_info": {
-            "ahead": _switch(rng),
-            "local_read": _switch(rng),
-            "resume": _switch(rng),
+            "ahead": _draw_switch(rng),
+            "local_read": _draw_switch(rng),
+            "resume": _draw_switch(rng),
             "release": rng.choice((400.0, 1000.0, 3000.0)),
             "stage_of_kind": [role.value for _, role in roles],
             "kv_tokens": [200_000.0] * len(roles),
             "token_aim": [80.0] * len(classes),
         },
         "limits": {
-            "cancel": _switch(rng),
+            "cancel": _draw_switch(rng),
             "connect_timeout": rng.choice(CONNECT_TIMEOUTS_MS),
-            "max_attempts": rng.choice((1, 2, 3, 4, 5, 6)) if one_attempt_serves else rng.randint(2, 6),
+            "max_attempts": rng.choice((1, 2, 3, 4, 5, 6)) if has_mixed_hosts else rng.randint(2, 6),
             "max_retry_after": 500.0,
-            "may_duplicate": _switch(rng),
-            "probes": _switch(rng),
-            "peers": _switch(rng),
-            "retry_after": _switch(rng),
+            "may_duplicate": _draw_switch(rng),
+            "probes": _draw_switch(rng),
+            "peers": _draw_switch(rng),
+            "retry_after": _draw_switch(rng),
             "idle_close": rng.choice(IDLE_TIMEOUTS_MS),
         },
         "report": rng.choice(
@@ -151,11 +156,11 @@
             "stop_sending_within": rng.choice(DRAIN_GRACES_MS),
         },
     }
-    names = tuple(str(each["name"]) for each in classes)
+    names = tuple(str(request_class["name"]) for request_class in classes)
     return Deployment(message, hosts, zones, tenants, names, timeouts_s, dispatcher_count)
 
 
-def _switch(rng: random.Random) -> bool:
+def _draw_switch(rng: random.Random) -> bool:
     return rng.random() < 0.5
 
 
@@ -177,20 +182,20 @@
 
 
 def _draw_classes(rng: random.Random) -> list[dict[str, Any]]:
-    """One class of each effect, in any order, each with its own time-out."""
+    """Draws one class of each kind of idempotency, in random order, each with its own time-out."""
     classes = []
-    for n, word in enumerate(rng.sample(("read_like", "idempotency_key", "non_idempotent"), 3)):
-        timeout_s = rng.choice([each for each in CLIENT_TIMEOUTS_S if each <= MAX_SHORT_TIMEOUT_S])
+    for n, idempotency in enumerate(rng.sample(("read_like", "idempotency_key", "non_idempotent"), 3)):
+        timeout_s = rng.choice([timeout for timeout in CLIENT_TIMEOUTS_S if timeout <= MAX_SHORT_TIMEOUT_S])
         if rng.random() < LONG_TIMEOUT_CHANCE:
             timeout_s = max(CLIENT_TIMEOUTS_S)
         message: dict[str, Any] = {
             "name": f"c{n}",
             "aim": timeout_s * 1000.0 * rng.choice((0.3, 0.6, 0.9)),
             "give_up": timeout_s * 1000.0,
-            "idempotency": word,
+            "idempotency": idempotency,
             "value": rng.choice((1.0, 3.0)),
         }
-        if word == "idempotency_key":
+        if idempotency == "idempotency_key":
             message["group"] = rng.choice(("all", "zone", "cell"))
             message["window"] = rng.choice(DEDUPLICATION_WINDOWS_MS)
         classes.append(message)
--- a/violetstack/rehearsal/fleet/campaign_state.py
+++ b/violetstack/rehearsal/fleet/campaign_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one case share: its deployment, its stand-ins, and the evidence for the auditor."""
+"""The state that the components of a case share: deployment, simulated peers, evidence for the audit."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FaultSpan(NamedTuple):
-    """When a fault of the environment began and ended."""
+    """The time from the beginning to the end of an environment fault, in seconds of the run."""
 
     fault: InjectedFault
     target: int
@@ -28,26 +28,26 @@
 
 
 class Dispatcher:
-    """One dispatcher's process as the clients' front sees it."""
+    """The process of one dispatcher, and the connections that clients have to it."""
 
     def __init__(self, program: Program) -> None:
         self.program = program
         self.accepting = False
-        """New connections go there."""
+        """Whether clients open new connections to it."""
         self.idle_connections: list[tuple[ClientConnection, ClientExchange]] = []
         self.flood_began_at = math.inf
         self.flood_ended_at = -math.inf
         self._active_floods = 0
 
     def begin_flood(self, now: float) -> None:
-        """Clients take what descriptors there are; several floods may overlap."""
+        """Notes that clients take up all descriptors from now on; several floods may overlap."""
         if not self._active_floods:
             self.flood_began_at = now
         self._active_floods += 1
         self.flood_ended_at = math.inf
 
     def end_flood(self, until: float) -> None:
-        """One flood is over; with the last one, its aftermath ends at `until`."""
+        """Notes the end of a flood; after the last one, new connections may still fail before `until`."""
         self._active_floods -= 1
         if not self._active_floods:
             self.flood_ended_at = until
@@ -73,7 +73,7 @@
         self.open_exchanges: dict[str, ClientExchange] = {}
         self.hosts: list[CampaignHost] = []
         self.agents: list[Agent] = []
-        """The agent that each dispatcher's configuration names."""
+        """The discovery agents that the dispatchers' current configurations name."""
         self.former_agents: list[Agent] = []
         self.dispatchers: list[Dispatcher] = []
         self.crashed: list[str] = []
@@ -84,30 +84,35 @@
         self._load_began_at = time.monotonic()
 
     def now(self) -> float:
-        """Seconds since the load began."""
+        """Returns the seconds since the load began."""
         return time.monotonic() - self._load_began_at
 
     def begin_load(self) -> None:
         self._load_began_at = time.monotonic()
-        self.evidence.process_starts.clear()  # those before count from the beginning
+        self.evidence.process_starts.clear()  # the first processes count as running from the beginning
         self.lag_s = 0.0
         self.starved_s = 0.0
 
     @property
     def all_agents(self) -> list[Agent]:
-        """Every agent that was named, those of now last."""
+        """All agents that a configuration has named so far; the current ones come last."""
         return [*self.former_agents, *self.agents]
 
     def move_agent(self, number: int, agent: Agent) -> None:
-        """The dispatcher's configuration names another agent from now on."""
+        """Replaces the agent that the dispatcher's configuration names."""
         self.former_agents.append(self.agents[number])
         self.agents[number] = agent
 
     def excuse_holds(self, dispatcher: int, until: float) -> None:
-        """The dispatcher could not release anything until then; infinite: it has left that to the hosts."""
+        """Excuses holds of the dispatcher's requests, as it was unable to release them before `until`.
+
+        `until` is infinite if the dispatcher has left them to the hosts' retention time.
+        """
         exchanges = self.evidence.exchanges.values()
-        self.evidence.holds.excuse((each.id for each in exchanges if each.dispatcher == dispatcher), until)
+        self.evidence.holds.excuse(
+            (exchange.id for exchange in exchanges if exchange.dispatcher == dispatcher), until
+        )
 
     def endpoint_list(self) -> list[dict[str, Any]]:
-        """The complete endpoint list."""
+        """Returns the complete endpoint list."""
         return [host.row() for host in self.hosts]
