--- a/violetstack/rehearsal/fleet/freeze_gate.py
+++ b/violetstack/rehearsal/fleet/freeze_gate.py
@@ -1,4 +1,4 @@
-"""Holds a scripted model host's work up while it is frozen: what comes is taken, and nothing is begun."""
+"""Suspends a scripted model host while it is frozen: it accepts data, but begins no request."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def reset_connection(sock: trio.socket.SocketType) -> None:
-    """Closes with a TCP reset, whatever is unsent."""
+    """Closes the connection with a TCP reset and discards unsent data."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     sock.close()
 
 
 def peer_has_closed(sock: trio.socket.SocketType) -> bool:
-    """Whether the other side has closed the connection, as it is at this moment."""
+    """Returns whether the peer has closed the connection by now."""
     if sock.fileno() < 0:
         return True
     poller = select.poll()
@@ -32,7 +32,7 @@
 
 
 class FreezeGate:
-    """Open, unless its host is frozen."""
+    """Lets requests pass unless the host is frozen."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -46,15 +46,16 @@
             self._thawed = trio.Event()
 
     def thaw(self, *, resets: bool) -> None:
-        """`resets`: the connections on which something has come are reset, and nothing of it is begun."""
+        """Lets waiting requests begin, or resets their connections if `resets` is set."""
         self._frozen_since = None
         self._resets = resets
         self._thawed.set()
 
     async def wait(self, wire: Wire) -> float | None:
-        """Returns since when the host was frozen, once it goes on; None if it was not.
+        """Waits until the host is not frozen; returns since when it was, or None if it was not.
 
-        What was given up meanwhile is not begun: its connection has ended.
+        Raises:
+            Ended: The connection was reset by `thaw`, or the peer has closed it meanwhile.
         """
         since = self._frozen_since
         if since is None:
--- a/violetstack/rehearsal/fleet/hold_audit.py
+++ b/violetstack/rehearsal/fleet/hold_audit.py
@@ -1,8 +1,8 @@
-"""Judges by model hosts' own records whether what they held for requests was taken over or released in time.
+"""Audits by model hosts' own records whether their holds were taken over or released in time.
 
-Nothing here does I/O or reads a clock, and nothing comes from the dispatchers themselves. Times are seconds.
-An attempt counts as in flight from the moment at which its host begins it: bytes that came to a host which is
-frozen are not out, and stop no clock.
+The audit does no I/O, reads no clock, and uses no data from the dispatchers themselves. Times are in seconds.
+An attempt counts as in flight from the moment at which its host begins it: an attempt that has only arrived
+at a frozen host is not in flight, so the retention time keeps running.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 from enum import Enum
 
 RULE_SLACK_S = 0.35
-"""On the retention time: 50 ms as on every limit, and 300 ms as what is held has."""
+"""The tolerance on the retention time: 50 ms as on every limit, and another 300 ms for holds."""
 
 
 class HostRecord(Enum):
-    """What a model host wrote down of one request."""
+    """What a model host records about a request."""
 
     SLOT_RESERVED = "slot reserved"
     ATTEMPT_BEGUN = "attempt begun"
     ATTEMPT_ENDED = "attempt ended"
     STATE_LEFT = "state left"
     TAKEN_OVER = "taken over"
-    """A stream has started: nothing is held any more."""
+    """A stream has started, so nothing is held any more."""
     RELEASE_TAKEN = "release taken"
 
 
 @dataclass(frozen=True)
 class HostEvent:
-    """One record, of a host that runs."""
+    """One record of a host that is running."""
 
     at: float
     record: HostRecord
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class HeldTooLong:
-    """Something was held for a request, and nothing took it over, for longer than the rule allows."""
+    """A hold that was neither taken over nor released within the allowed time."""
 
     request_id: str
     since: float
@@ -49,8 +49,8 @@
     held: tuple[str, ...]
 
     def __str__(self) -> str:
-        what = ", ".join(self.held)
-        return f"{self.request_id}: {what}: {self.until - self.since:.3f} s from {self.since:.3f} s"
+        holds = ", ".join(self.held)
+        return f"{self.request_id}: {holds}: held {self.until - self.since:.3f} s from {self.since:.3f} s"
 
 
 @dataclass
@@ -58,10 +58,11 @@
     """The records of all hosts.
 
     Attributes:
-        events: In the order in which they were written down.
-        excused_until: By request: its dispatcher did not run until then, or ended and left it to the hosts.
-        ended_at: When the records end.
-        prefills_in_flight: By request: prefills that a host has begun and not ended.
+        events: In the order in which they were recorded.
+        excused_until: By request id, the time before which its holds do not count, because its dispatcher was
+            not running, or had ended and left them to the hosts.
+        ended_at: The end of the records.
+        prefills_in_flight: By request id, the number of prefills that hosts have begun and not ended.
     """
 
     events: list[HostEvent] = field(default_factory=list)
@@ -70,7 +71,7 @@
     prefills_in_flight: Counter[str] = field(default_factory=Counter)
 
     def excuse(self, request_ids: Iterable[str], until: float) -> None:
-        """Nothing of these requests counts as held before `until`."""
+        """Lets no hold of these requests count before `until`."""
         for request_id in request_ids:
             self.excused_until[request_id] = max(until, self.excused_until.get(request_id, until))
 
@@ -80,7 +81,7 @@
 
 
 class _RequestHolds:
-    """What is held for one request, followed through its records."""
+    """The holds of one request, as they follow from its records."""
 
     def __init__(self, request_id: str, limit_s: float, excused_until: float) -> None:
         self._id = request_id
@@ -91,7 +92,7 @@
         self._since = 0.0
 
     def apply(self, event: HostEvent) -> Iterator[HeldTooLong]:
-        """Follows one record; yields what was held for too long before it."""
+        """Applies one record; yields the holds that had lasted too long before it."""
         yield from self.check(event.at)
         match event.record:
             case HostRecord.SLOT_RESERVED:
@@ -109,12 +110,12 @@
                 if not self._in_flight:
                     self._held.clear()
 
-    def _hold(self, at: float, what: str) -> None:
-        self._held[what] = None
+    def _hold(self, at: float, hold: str) -> None:
+        self._held[hold] = None
         self._since = at
 
     def check(self, now: float) -> Iterator[HeldTooLong]:
-        """Yields what has been held for too long by `now`, once."""
+        """Yields the holds that have lasted too long by `now`, once."""
         since = max(self._since, self._excused_until)
         if self._held and not self._in_flight and now - since > self._limit_s:
             yield HeldTooLong(self._id, since, now, tuple(self._held))
@@ -122,11 +123,11 @@
 
 
 def audit_holds(evidence: HoldEvidence, retention_s: float, lag_s: float = 0.0) -> list[HeldTooLong]:
-    """Returns what was held too long up to the end of the records; `lag_s`: how late they are."""
+    """Returns the holds that lasted too long by the end of the records, which are up to `lag_s` late."""
     if not retention_s:
         return []
     by_request: dict[str, list[HostEvent]] = defaultdict(list)
-    for event in sorted(evidence.events, key=lambda each: each.at):
+    for event in sorted(evidence.events, key=lambda record: record.at):
         by_request[event.request_id].append(event)
     limit_s = retention_s + RULE_SLACK_S + lag_s
     found: list[HeldTooLong] = []
--- a/violetstack/rehearsal/fleet/host_holds.py
+++ b/violetstack/rehearsal/fleet/host_holds.py
@@ -1,4 +1,4 @@
-"""What a scripted model host writes down of what it holds, for the auditor."""
+"""Records what a scripted model host holds, for the hold audit."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from violetstack.rehearsal.fleet.socket_audit import HostAttempt
 
 UNCERTAIN_AFTER_S = 0.3
-"""A reservation is answered with 204 after this where no prefill is known to be out."""
+"""How long a host waits for a prefill to begin before it answers a reservation with 204."""
 PREFILL_POLL_S = 0.005
 
 
 class HoldRecorder:
-    """The records of one host. Which prefills are out is known to all hosts, as the evidence is theirs."""
+    """Records the holds of one host; all hosts share the evidence with the number of prefills in flight."""
 
     def __init__(self, evidence: HoldEvidence, host: str, clock: Callable[[], float]) -> None:
         self._evidence = evidence
@@ -30,26 +30,29 @@
         self._record(HostRecord.RELEASE_TAKEN, request_id)
 
     def stream_started(self, attempt: HostAttempt) -> None:
-        """Its stream has started."""
+        """Records that the stream of the attempt has started."""
         self._record(HostRecord.TAKEN_OVER, attempt.request_id)
 
     async def wait_for_prefill(self, request_id: str) -> bool:
-        """Whether a prefill of the request is out, or begins within the time that a host waits for it."""
-        give_up_at = self._clock() + UNCERTAIN_AFTER_S
-        while self._clock() < give_up_at:
+        """Returns whether a prefill of the request is in flight or begins within UNCERTAIN_AFTER_S."""
+        wait_until = self._clock() + UNCERTAIN_AFTER_S
+        while self._clock() < wait_until:
             if self._evidence.prefills_in_flight[request_id]:
                 return True
             await trio.sleep(PREFILL_POLL_S)
         return False
 
     def attempt_begun(self, attempt: HostAttempt) -> None:
-        """The attempt has begun: it is out."""
+        """Records that the attempt has begun, so it is in flight."""
         self._record(HostRecord.ATTEMPT_BEGUN, attempt.request_id)
         if attempt.role is Role.PREFILL:
             self._evidence.prefills_in_flight[attempt.request_id] += 1
 
     def attempt_ended(self, attempt: HostAttempt, *, leaves_state: bool) -> None:
-        """The attempt has ended; only the first call counts."""
+        """Records that the attempt has ended; further calls for it have no effect.
+
+        `leaves_state`: its prefilled state stays at the host.
+        """
         if not attempt.end_pending:
             return
         attempt.end_pending = False
--- a/violetstack/rehearsal/fleet/socket_audit.py
+++ b/violetstack/rehearsal/fleet/socket_audit.py
@@ -1,6 +1,6 @@
-"""Judges a run by what clients wrote and read, and what model hosts received and wrote.
+"""Audits a run by what clients sent and received, and what model hosts received and sent.
 
-Nothing here does I/O or reads a clock, and nothing comes from the dispatchers themselves. Times are seconds
+The audit does no I/O, reads no clock, and uses no data from the dispatchers themselves. Times are in seconds
 of the run.
 """
 
@@ -16,25 +16,25 @@
 from violetstack.rehearsal.fleet.hold_audit import HoldEvidence, audit_holds
 
 RULE_SLACK_S = 0.05
-"""On every time limit of the protocol."""
+"""The tolerance on every time limit of the protocol."""
 LATE_ANSWER_GRACE_S = 0.5
-"""An answer that comes later than this after its deadline is lost."""
+"""An answer that arrives later than this after its deadline counts as lost."""
 DISCONNECT_GRACE_S = 0.1
 """An attempt may begin this long after its client has closed the connection."""
 DEADLINE_SLACK_S = 0.15
 """An attempt's deadline may exceed what is left to the client by this much."""
 LATE_STREAM_END_S = 1.0
-"""The end of a stream is passed on within this time after the host's."""
+"""The dispatcher passes on the end of a stream within this time after the host has sent it."""
 SILENT_STREAM_S = 5.0
-"""A client is not left waiting for longer after the host's last event."""
+"""The dispatcher ends a stream at the latest this long after the host's last event."""
 ACTIVE_STREAM_S = 1.0
-"""A host that has written an event this recently is still streaming."""
+"""A host that has sent an event this recently is still streaming."""
 
 REJECTION_STATUSES = frozenset({429, 503})
 
 
 class Rule(Enum):
-    """What a violation breaks."""
+    """The rules that a run may violate."""
 
     UNANSWERED = "unanswered"
     CLOSED_UNANSWERED = "closed unanswered"
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A broken rule, and the request that it was broken for."""
+    """A violated rule, and the request concerned."""
 
     rule: Rule
     request_id: str
@@ -73,22 +73,22 @@
 
 @dataclass
 class ClientExchange:
-    """One request as its client saw it.
+    """One request, as its client saw it.
 
     Attributes:
-        sent_at: When its last byte was written; None if it never was.
-        deadline_s: What the client stated, counted from `sent_at`.
-        first_byte_at: When the first byte of an answer's body came; of one without a body, its head.
-        answered_at: When the last byte of the answer came.
+        sent_at: When its last byte was sent; None if it never was.
+        deadline_s: The deadline that the client stated, counted from `sent_at`.
+        first_byte_at: When the first byte of the answer's body arrived; its head if it has no body.
+        answered_at: When the last byte of the answer arrived.
         complete: Whether the answer ended by its own framing.
-        trailing_bytes: Bytes that came behind the answer.
-        server_closed_at: When the dispatcher ended the connection.
-        client_closed_at: When the client closed, reset or half-closed the connection, or went away.
+        trailing_bytes: Bytes that arrived after the answer.
+        server_closed_at: When the dispatcher closed the connection.
+        client_closed_at: When the client closed, reset or half-closed the connection.
         waited_until: When the client stopped waiting.
-        resent_at: When it was written once more, as its kept connection had ended under it.
-        paused_until: When its dispatcher's process, which was stopped under it, went on.
+        resent_at: When it was sent again, as its idle connection was closed while it was in transit.
+        paused_until: When its dispatcher's process continued, if it was stopped during the request.
         excused: Why no answer is owed; empty otherwise.
-        reads_slowly: Its client takes an answer later than it comes.
+        reads_slowly: Its client reads an answer later than it arrives.
         pipelined_after: The request on the same connection whose answer comes before this one's.
     """
 
@@ -115,12 +115,12 @@
 
     @property
     def committed_at(self) -> float | None:
-        """When its final answer was decided, as far as the client can tell."""
+        """When its final answer was determined, as far as the client can see."""
         return self.first_byte_at if self.status == 200 else self.answered_at
 
     @property
     def latest_answer_at(self) -> float:
-        """From when on an answer comes too late to count."""
+        """The latest time of an answer; a later one counts as lost."""
         if self.sent_at is None:
             return math.inf
         first_ended_at = 0.0
@@ -133,19 +133,19 @@
 
 @dataclass
 class HostAttempt:
-    """One attempt as its model host saw it; it began when its last byte came.
+    """One attempt, as its model host saw it; it began when its last byte arrived.
 
     Attributes:
-        head_at: When its head came.
-        stalled: The host did not read for a while, so it saw the end of the connection late as well.
-        read_at: When the host had read it, if that may have been later than it arrived.
-        received_deadline_s: Its `Req-Deadline`.
-        closed_at: When its answer or its connection ended; None if it is out.
-        declined: The host said that it has not run.
-        events: The body of its stream, as far as it was written.
-        stream_ended_at: When the last chunk was written.
-        stream_faulty: The host broke off, stopped or spoilt its stream.
-        last_event_at: When the last event was written.
+        head_at: When its head arrived.
+        stalled: The host stopped reading for a while, so it also noticed the end of the connection late.
+        read_at: When the host had read it, if that may have been after its arrival.
+        received_deadline_s: The value of its `Req-Deadline`, in seconds.
+        closed_at: When its answer or its connection ended; None while it is in flight.
+        declined: The host reported that it did not run.
+        events: The body of its stream, as far as it was sent.
+        stream_ended_at: When the last chunk was sent.
+        stream_faulty: The host broke off, stalled or corrupted its stream.
+        last_event_at: When the last event was sent.
     """
 
     request_id: str
@@ -165,19 +165,19 @@
     stream_faulty: bool = False
     last_event_at: float | None = None
     end_pending: bool = True
-    """Its end has not been written down among what is held."""
+    """Whether its end has yet to be recorded in the hold evidence."""
 
 
 @dataclass
 class Evidence:
-    """All that the sockets of one run showed.
+    """All records of the sockets of one run.
 
     Attributes:
         exchanges: By request id.
-        drains: When a drain of a host was written to a dispatcher, each time, by both.
-        process_starts: When a dispatcher's processes were started, by its number.
-        lag_s: How late the observers were at most: a limit is not exceeded by less.
-        holds: What hosts held.
+        drains: The times at which a drain was sent to a dispatcher, by dispatcher number and host id.
+        process_starts: The times at which a dispatcher's processes were started, by its number.
+        lag_s: The longest delay of the recording process, which is added to the tolerances.
+        holds: The records of what hosts held.
     """
 
     exchanges: dict[str, ClientExchange] = field(default_factory=dict)
@@ -189,12 +189,12 @@
 
 
 def audit(settings: Settings, drain_grace_s: float, evidence: Evidence) -> list[Violation]:
-    """Returns every violation; `drain_grace_s` is how long a host that drains still accepts attempts."""
+    """Returns all violations; `drain_grace_s` is how long attempts may go to a host after its drain began."""
     return SocketAuditor(settings, drain_grace_s, evidence).violations()
 
 
 class SocketAuditor:
-    """The checks of one run's evidence."""
+    """Checks the evidence of one run."""
 
     def __init__(self, settings: Settings, drain_grace_s: float, evidence: Evidence) -> None:
         self._settings = settings
@@ -202,14 +202,14 @@
         self._evidence = evidence
         self._tolerance_s = RULE_SLACK_S + evidence.lag_s
         self._attempts: dict[str, list[HostAttempt]] = defaultdict(list)
-        for attempt in sorted(evidence.attempts, key=lambda each: each.arrived_at):
+        for attempt in sorted(evidence.attempts, key=lambda received: received.arrived_at):
             self._attempts[attempt.request_id].append(attempt)
 
     def violations(self) -> list[Violation]:
         found: list[Violation] = []
         for request_id, attempts in self._attempts.items():
             if request_id not in self._evidence.exchanges:
-                found.append(Violation(Rule.UNKNOWN_REQUEST, request_id, f"came to {attempts[0].host}"))
+                found.append(Violation(Rule.UNKNOWN_REQUEST, request_id, f"arrived at {attempts[0].host}"))
         for exchange in self._evidence.exchanges.values():
             attempts = self._attempts.get(exchange.id, [])
             found += self._check_answer(exchange, attempts)
@@ -222,8 +222,8 @@
     def _check_holds(self) -> list[Violation]:
         evidence = self._evidence
         retention_s = self._settings.state_retention_ms / 1000.0
-        held = audit_holds(evidence.holds, retention_s, evidence.lag_s)
-        return [Violation(Rule.HELD_TOO_LONG, each.request_id, str(each)) for each in held]
+        long_holds = audit_holds(evidence.holds, retention_s, evidence.lag_s)
+        return [Violation(Rule.HELD_TOO_LONG, hold.request_id, str(hold)) for hold in long_holds]
 
     # --- the final answer ---
 
@@ -233,25 +233,29 @@
         if exchange.sent_at is None or exchange.excused:
             return
         if exchange.resent_at is not None:
-            read = [each for each in attempts if each.arrived_at <= exchange.resent_at]
-            if read:
-                yield Violation(Rule.CLOSED_UNANSWERED, exchange.id, "its kept connection, after it was read")
+            received = [attempt for attempt in attempts if attempt.arrived_at <= exchange.resent_at]
+            if received:
+                yield Violation(
+                    Rule.CLOSED_UNANSWERED,
+                    exchange.id,
+                    "resent after a host had received it",
+                )
         if exchange.client_closed_at is not None:
             return
-        due = exchange.latest_answer_at
+        latest_answer_at = exchange.latest_answer_at
         committed_at = exchange.committed_at
         if not exchange.status:
-            yield self._missing_answer(exchange, due)
-        elif committed_at is not None and committed_at > due + self._tolerance_s:
+            yield self._missing_answer(exchange, latest_answer_at)
+        elif committed_at is not None and committed_at > latest_answer_at + self._tolerance_s:
             late_s = committed_at - exchange.sent_at - exchange.deadline_s
             yield Violation(Rule.LATE_ANSWER, exchange.id, f"{late_s:.2f} s after its deadline")
 
-    def _missing_answer(self, exchange: ClientExchange, due: float) -> Violation:
+    def _missing_answer(self, exchange: ClientExchange, latest_answer_at: float) -> Violation:
         assert exchange.sent_at is not None
         closed_at = exchange.server_closed_at
-        if closed_at is not None and closed_at <= due:
-            kind = "kept" if exchange.reused_connection else "new"
-            detail = f"{kind} connection to {exchange.dispatcher}, {closed_at - exchange.sent_at:.3f} s later"
+        if closed_at is not None and closed_at <= latest_answer_at:
+            kind = "idle" if exchange.reused_connection else "new"
+            detail = f"{kind} connection to {exchange.dispatcher}, after {closed_at - exchange.sent_at:.3f} s"
             return Violation(Rule.CLOSED_UNANSWERED, exchange.id, detail)
         waited_s = exchange.waited_until - exchange.sent_at
         detail = (
@@ -265,11 +269,13 @@
         if exchange.status != 200 or exchange.excused:
             return
         body = bytes(exchange.body)
-        sources = [each for each in attempts if each.events and bytes(each.events).startswith(body)]
+        sources = [
+            attempt for attempt in attempts if attempt.events and bytes(attempt.events).startswith(body)
+        ]
         if not sources:
             yield Violation(Rule.UNMATCHED_STREAM, exchange.id, repr(body[:120]))
             return
-        source = max(sources, key=lambda each: (each.stream_ended_at is not None, len(each.events)))
+        source = max(sources, key=lambda attempt: (attempt.stream_ended_at is not None, len(attempt.events)))
         if exchange.complete:
             yield from self._check_complete_stream(exchange, sources)
         elif exchange.client_closed_at is None:
@@ -279,14 +285,14 @@
         self, exchange: ClientExchange, sources: list[HostAttempt]
     ) -> Iterator[Violation]:
         ended = [
-            each
-            for each in sources
-            if each.stream_ended_at is not None
-            and not each.stream_faulty
-            and bytes(each.events) == bytes(exchange.body)
+            attempt
+            for attempt in sources
+            if attempt.stream_ended_at is not None
+            and not attempt.stream_faulty
+            and bytes(attempt.events) == bytes(exchange.body)
         ]
         if not ended:
-            yield Violation(Rule.FALSE_COMPLETION, exchange.id, f"{sources[0].host} had not ended it")
+            yield Violation(Rule.FALSE_COMPLETION, exchange.id, f"{sources[0].host} had not ended the stream")
             return
         ended_at = ended[0].stream_ended_at
         assert ended_at is not None
@@ -295,29 +301,33 @@
         late_at = ended_at + LATE_STREAM_END_S + self._tolerance_s
         if exchange.answered_at > late_at and not exchange.reads_slowly:
             late_s = exchange.answered_at - ended_at
-            yield Violation(Rule.LATE_END, exchange.id, f"{late_s:.2f} s after {ended[0].host}")
+            yield Violation(Rule.LATE_END, exchange.id, f"{late_s:.2f} s after the end at {ended[0].host}")
 
     def _check_incomplete_stream(self, exchange: ClientExchange, source: HostAttempt) -> Iterator[Violation]:
         end = exchange.server_closed_at
-        last = source.last_event_at if source.last_event_at is not None else source.arrived_at
-        last = max(last, exchange.paused_until)
+        silent_since = source.last_event_at if source.last_event_at is not None else source.arrived_at
+        silent_since = max(silent_since, exchange.paused_until)
         if source.stream_faulty:
             silent_until = end if end is not None else exchange.waited_until
-            if silent_until > last + SILENT_STREAM_S + self._tolerance_s:
-                waited_s = silent_until - last
-                yield Violation(Rule.SILENT_STREAM, exchange.id, f"{waited_s:.2f} s after {source.host}")
-        elif source.stream_ended_at is not None or (end is not None and end <= last + ACTIVE_STREAM_S):
+            if silent_until > silent_since + SILENT_STREAM_S + self._tolerance_s:
+                waited_s = silent_until - silent_since
+                yield Violation(
+                    Rule.SILENT_STREAM, exchange.id, f"{waited_s:.2f} s without an event of {source.host}"
+                )
+        elif source.stream_ended_at is not None or (
+            end is not None and end <= silent_since + ACTIVE_STREAM_S
+        ):
             yield Violation(
                 Rule.TRUNCATED,
                 exchange.id,
                 f"by dispatcher {exchange.dispatcher}, {len(exchange.body)} of {len(source.events)} bytes",
             )
 
-    # --- what was forwarded ---
+    # --- forwarding ---
 
     def _check_forwarding(self, exchange: ClientExchange, attempts: list[HostAttempt]) -> Iterator[Violation]:
         if attempts and exchange.sent_at is None:
-            yield Violation(Rule.INCOMPLETE_REQUEST, exchange.id, f"came to {attempts[0].host}")
+            yield Violation(Rule.INCOMPLETE_REQUEST, exchange.id, f"arrived at {attempts[0].host}")
             return
         for attempt in attempts:
             yield from self._check_one_attempt(exchange, attempt)
@@ -330,35 +340,36 @@
         closed_at = exchange.client_closed_at
         grace_s = DISCONNECT_GRACE_S + self._evidence.lag_s
         if closed_at is not None and at > closed_at + grace_s:
-            detail = f"{attempt.host} {at - closed_at:.3f} s after the client's end"
+            detail = f"{attempt.host} {at - closed_at:.3f} s after the client's disconnect"
             yield Violation(
                 _late_delivery_or(Rule.AFTER_DISCONNECT, attempt, closed_at + grace_s), exchange.id, detail
             )
         committed_at = exchange.committed_at
         if committed_at is not None and at > committed_at + self._tolerance_s:
-            detail = f"{attempt.host} {at - committed_at:.3f} s after {exchange.status}"
+            detail = f"{attempt.host} {at - committed_at:.3f} s after the answer {exchange.status}"
             rule = _late_delivery_or(Rule.AFTER_ANSWER, attempt, committed_at + self._tolerance_s)
             yield Violation(rule, exchange.id, detail)
         assert exchange.sent_at is not None
         if attempt.received_deadline_s is not None:
-            # A host that reads slowly makes what it was told late, not wrong.
+            # Slow reading at the host delays the deadline that it receives, but does not make it wrong.
             head_at = attempt.head_at if attempt.head_at is not None else at
             left_s = exchange.sent_at + exchange.deadline_s - head_at
             over_s = attempt.received_deadline_s - left_s
             if over_s > DEADLINE_SLACK_S + self._evidence.lag_s:
-                detail = (
-                    f"{attempt.host} was given {attempt.received_deadline_s:.3f} s, {left_s:.3f} s were left"
-                )
+                detail = f"{attempt.host} received {attempt.received_deadline_s:.3f} s, {left_s:.3f} s left"
                 yield Violation(Rule.DEADLINE_TOO_LONG, exchange.id, detail)
-        drained_at = self._drain_announced_at(exchange.dispatcher, attempt.host, at)
-        if drained_at is not None and at > drained_at + self._drain_grace_s + self._tolerance_s:
-            detail = f"{attempt.host} {at - drained_at:.3f} s after the drain was announced"
+        drain_announced_at = self._drain_announced_at(exchange.dispatcher, attempt.host, at)
+        if (
+            drain_announced_at is not None
+            and at > drain_announced_at + self._drain_grace_s + self._tolerance_s
+        ):
+            detail = f"{attempt.host} {at - drain_announced_at:.3f} s after the drain was announced"
             yield Violation(Rule.AFTER_DRAIN, exchange.id, detail)
 
     def _drain_announced_at(self, dispatcher: int, host: str, at: float) -> float | None:
-        """When the process that ran at this time was first told of the drain; None if it was not.
+        """Returns when the process that ran at time `at` first received the drain; None if it did not.
 
-        A new process begins with the list of its configuration, which may be old.
+        A new process begins with the endpoint list of its configuration, which may be outdated.
         """
         starts = self._evidence.process_starts.get(dispatcher, [])
         started_at = max((start for start in starts if start <= at), default=-math.inf)
@@ -370,7 +381,7 @@
     def _check_repeats(self, exchange: ClientExchange, attempts: list[HostAttempt]) -> Iterator[Violation]:
         if not self._settings.hedging_allowed:
             for earlier, later in _overlapping(attempts, self._tolerance_s):
-                detail = f"{later.host} while {earlier.host} was out"
+                detail = f"{later.host} while the attempt at {earlier.host} was in flight"
                 yield Violation(Rule.HEDGED, exchange.id, detail)
         request_class = self._class_of(exchange)
         runs = _possible_runs(attempts)
@@ -385,7 +396,7 @@
     def _repeat_forbidden_reason(
         self, request_class: ClassSettings, first: HostAttempt, repeat: HostAttempt
     ) -> str:
-        """Why the work may not be repeated there; empty if it may."""
+        """Returns why the work must not be repeated by this attempt; empty if it may."""
         if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return "not idempotent"
         after_s = repeat.arrived_at - first.arrived_at
@@ -398,7 +409,7 @@
         return ""
 
     def _check_rejection(self, exchange: ClientExchange, attempts: list[HostAttempt]) -> Iterator[Violation]:
-        """A rejection says that a retry is harmless: what has run may be repeated anywhere."""
+        """A rejection tells the client that a retry is harmless, so the work must be repeatable anywhere."""
         if exchange.status not in REJECTION_STATUSES:
             return
         request_class = self._class_of(exchange)
@@ -416,12 +427,12 @@
 
 
 def _possible_runs(attempts: Iterable[HostAttempt]) -> list[HostAttempt]:
-    """Those that may have had an effect: a prefill has none, and what was declined has not run."""
-    return [each for each in attempts if each.role is not Role.PREFILL and not each.declined]
+    """Returns the attempts that may have had an effect: neither prefills nor declined attempts."""
+    return [attempt for attempt in attempts if attempt.role is not Role.PREFILL and not attempt.declined]
 
 
 def _late_delivery_or(rule: Rule, attempt: HostAttempt, limit: float) -> Rule:
-    """The rule, or LATE_DELIVERY if the attempt was begun in time and only its rest came late."""
+    """Returns LATE_DELIVERY if the attempt's head arrived in time and only its rest late, else the rule."""
     return Rule.LATE_DELIVERY if attempt.head_at is not None and attempt.head_at <= limit else rule
 
 
@@ -438,4 +449,4 @@
 
 
 def _host_names(attempts: Iterable[HostAttempt]) -> str:
-    return ", ".join(each.host for each in attempts)
+    return ", ".join(attempt.host for attempt in attempts)
