--- a/violetstack/rehearsal/fleet/fault_shim.c
+++ b/violetstack/rehearsal/fleet/fault_shim.c
@@ -1,7 +1,7 @@
-/* System calls that fail and a wall clock that steps, for one process of a rehearsal (LD_PRELOAD).
+/* Makes system calls fail and steps the wall clock in one process of a rehearsal (by LD_PRELOAD).
  *
- * The rehearsal shares a page with the process: SOAK_FAULTS_FD names its descriptor. Each call has an error
- * number and a period: every period-th call fails, none where the period is 0. Nothing else is changed.
+ * The rehearsal shares a memory page with the process; the environment variable SOAK_FAULTS_FD has its descriptor.
+ * Each system call has an error number and a period: every period-th call fails, or none if the period is 0.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -21,7 +21,7 @@
 struct faults {
     int64_t wall_offset_ns;
     struct {
-        int32_t error; /* of SEND: 0 makes the call write one byte */
+        int32_t error; /* 0 for SEND: the call sends one byte instead */
         int32_t period;
         int32_t made;
         int32_t failed;
--- a/violetstack/rehearsal/fleet/fault_shim.py
+++ b/violetstack/rehearsal/fleet/fault_shim.py
@@ -1,4 +1,4 @@
-"""Builds the shim library `fault_shim.c`, and sets the faults of one process."""
+"""Builds the shim library from `fault_shim.c`, and controls the faults that it injects into a process."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class ShimNotBuiltError(Exception):
-    """There is no C compiler, or it does not take the source."""
+    """The shim could not be built: there is no C compiler, or the compilation failed."""
 
 
 class SystemCall(IntEnum):
-    """The calls that can fail, in the order of the C source."""
+    """The system calls that can be made to fail, in the order of the enum in the C source."""
 
     SOCKET = 0
     CONNECT = 1
@@ -35,10 +35,10 @@
 
 
 def build_shim() -> Path:
-    """Compiles the shim and returns the library's path, in a new folder.
+    """Compiles the shim into a new directory and returns the path of the library.
 
     Raises:
-        ShimNotBuiltError: The message says why.
+        ShimNotBuiltError: With the reason.
     """
     compiler = shutil.which("cc")
     if compiler is None:
@@ -52,7 +52,7 @@
 
 
 class ProcessFaults:
-    """The page that a process shares with the rehearsal; it outlives restarts of the process."""
+    """The memory page by which the rehearsal controls the shim of a process; it outlives restarts."""
 
     def __init__(self) -> None:
         self.descriptor = os.memfd_create("faults")
@@ -61,18 +61,18 @@
         self._page = mmap.mmap(self.descriptor, size)
 
     def fail(self, call: SystemCall, error: int, period: int = 1) -> None:
-        """Every `period`-th call fails with `error`; SEND with error 0 writes a single byte."""
+        """Makes every `period`-th call fail with `error`; with error 0, SEND sends a single byte instead."""
         struct.pack_into("ii", self._page, self._position(call), error, period)
 
     def stop_failing(self, call: SystemCall) -> None:
         struct.pack_into("ii", self._page, self._position(call), errno.EINVAL, 0)
 
     def failed(self, call: SystemCall) -> int:
-        """How many calls have failed so far."""
+        """Returns the number of calls that have failed so far."""
         return int(struct.unpack_from(CALL_FORMAT, self._page, self._position(call))[3])
 
     def step_wall_clock(self, seconds: float) -> None:
-        """The process's wall clock shows so much more than the machine's from now on."""
+        """Sets the offset of the process's wall clock from that of the machine, in seconds."""
         struct.pack_into(OFFSET_FORMAT, self._page, 0, int(seconds * NS_PER_S))
 
     def close(self) -> None:
--- a/violetstack/rehearsal/fleet/soak.py
+++ b/violetstack/rehearsal/fleet/soak.py
@@ -1,7 +1,7 @@
-"""Plays one seed of the soak: many dispatchers, a longer load, and troubles that overlap at the same process.
+"""Runs one seed of the soak: many dispatchers, a longer load, and overlapping faults of the same process.
 
-It is the campaign (`campaign.py`) with more processes, with the troubles of `soak_faults.py`, and with the
-dispatchers' own invariants beside the auditor of the sockets.
+The soak extends the campaign (`campaign.py`) by more processes and the faults of `soak_faults.py`, and checks
+the dispatchers' own invariants in addition to the socket audit.
 """
 
 from __future__ import annotations
@@ -24,13 +24,20 @@
 from violetstack.rehearsal.fleet.soak_faults import SoakEvent, draw_soak
 
 TOTAL_REQUESTS_S = 90.0
-"""Of all dispatchers together: what one process of clients and hosts keeps up with."""
+"""For all dispatchers together: the rate that one process of simulated clients and hosts can sustain."""
 MAX_REQUESTS_PER_DISPATCHER_S = 14.0
 
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """What one seed of a soak is: its dispatchers, how long clients send, and the library of faulty calls."""
+    """The parameters of one seed of a soak.
+
+    Attributes:
+        processes: The number of dispatchers.
+        duration_s: How long clients send requests.
+        shim: The library that makes system calls fail; None if it could not be built.
+        root: The directory that the dispatchers are run from.
+    """
 
     seed: int
     processes: int
@@ -39,15 +46,15 @@
     root: Path = ROOT
 
     def draw(self, hosts: int) -> list[SoakEvent]:
-        """The troubles of this seed."""
+        """Draws the faults of this seed."""
         return draw_soak(self.seed, self.duration_s, self.processes, hosts)
 
 
 class Soak:
-    """One seed, from the start of its processes to the judgement."""
+    """One seed, from the start of its processes to the audit."""
 
     def __init__(self, plan: SoakPlan, events: list[SoakEvent] | None = None) -> None:
-        """`events` are played in place of those that the seed draws."""
+        """`events` replace the faults that are drawn from the seed."""
         self._plan = plan
         self._state = CaseState(plan.seed, plan.root, plan.processes)
         self._process_faults: dict[int, ProcessFaults] = {}
@@ -65,7 +72,7 @@
         self.events = plan.draw(len(self._state.deployment.hosts)) if events is None else events
 
     async def run(self) -> CaseResult:
-        """Plays and judges the seed."""
+        """Runs and audits the seed."""
         peers = SimulatedPeers(self._state)
         with ExitStack() as stack:
             async with trio.open_nursery() as nursery:
@@ -81,7 +88,7 @@
                 finally:
                     self._state.evidence.holds.ended_at = self._state.now()
                     self._processes.end_all()
-                await trio.sleep(SETTLE_TIME_S)  # for what the log's pipes still hold
+                await trio.sleep(SETTLE_TIME_S)  # so that the data left in the log pipes is copied
                 nursery.cancel_scope.cancel()
         for faults in self._process_faults.values():
             faults.close()
@@ -95,7 +102,7 @@
         await trio.sleep(SETTLE_TIME_S)
 
     def _prepare(self, program: Program) -> None:
-        """Gives a program the shim and a pipe for its log; both outlive its restarts."""
+        """Sets up the shim and a log pipe for a program; both outlive its restarts."""
         pipe = LogPipe()
         self._pipes[program.number] = pipe
         program.output = pipe.write_end
@@ -108,21 +115,21 @@
 
 
 def play_soak(plan: SoakPlan, events: list[SoakEvent] | None = None) -> CaseResult:
-    """Plays one seed, with these troubles in place of its own if there are any."""
+    """Runs one seed; `events`, if given, replace the faults drawn from it."""
     return trio.run(Soak(plan, events).run)
 
 
 def shrink(plan: SoakPlan, result: CaseResult) -> list[SoakEvent]:
-    """Drops troubles one after the other while one of the result's rules is still broken without them."""
-    kept = Soak(plan).events
+    """Removes faults one by one as long as at least one rule of the result is still violated without them."""
+    needed = Soak(plan).events
     rules = _violated_rules(result)
-    for event in list(kept):
-        fewer = [each for each in kept if each is not event]
-        if rules & _violated_rules(play_soak(plan, fewer)):
-            kept = fewer
-    return kept
+    for event in list(needed):
+        reduced = [other for other in needed if other is not event]
+        if rules & _violated_rules(play_soak(plan, reduced)):
+            needed = reduced
+    return needed
 
 
 def _violated_rules(result: CaseResult) -> set[str]:
     crash = {"crash"} if result.crashed else set()
-    return {each.rule for each in result.violations} | set(result.invariants) | crash
+    return {violation.rule for violation in result.violations} | set(result.invariants) | crash
--- a/violetstack/rehearsal/fleet/soak_environment.py
+++ b/violetstack/rehearsal/fleet/soak_environment.py
@@ -1,4 +1,4 @@
-"""Carries out the troubles of a soak, on top of those of the campaign."""
+"""Injects the faults of a soak, in addition to those of the campaign."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
 HALF_REQUEST = b"POST /v1/chat/completions HTTP/1.1\r\nHost: app.svc\r\n"
 BUSY_PROGRAM = "while True: pass"
 CONNECTING_CALLS = frozenset({SystemCall.SOCKET, SystemCall.CONNECT})
-"""While they fail, a release may have no connection to go by."""
+"""While these fail, the dispatcher may be unable to open a connection for a release."""
 RESTARTS = frozenset({EnvironmentFault.SIGTERM, EnvironmentFault.SIGKILL})
 
 
 async def _keep_machine_busy(duration_s: float) -> None:
-    """Other programs take processor time: one for every second processor."""
+    """Runs other programs that use processor time, one for every two processors."""
     programs = []
     try:
         for _ in range(max(1, len(os.sched_getaffinity(0)) // 2)):
-            programs.append(_start_busy_program())  # noqa: PERF401 - each has to be ended, whatever fails
+            programs.append(_start_busy_program())  # noqa: PERF401 - each has to be ended even if a later start fails
         await trio.sleep(duration_s)
     finally:
         for program in programs:
@@ -61,7 +61,7 @@
 
 
 class LogPipe:
-    """A small pipe between a dispatcher and its log, whose reader can stall."""
+    """A small pipe between a dispatcher and its log; its reader can be stalled."""
 
     def __init__(self) -> None:
         self.read_end, self.write_end = os.pipe()
@@ -70,14 +70,14 @@
         self._not_stalled.set()
 
     def stall(self) -> None:
-        """Nothing is read until `resume`."""
+        """Stops reading until `resume`."""
         self._not_stalled = trio.Event()
 
     def resume(self) -> None:
         self._not_stalled.set()
 
     async def copy(self, log: IO[bytes]) -> None:
-        """Copies what comes until cancelled."""
+        """Copies the pipe to the log until cancelled."""
         async with trio.lowlevel.FdStream(os.dup(self.read_end)) as stream:
             while True:
                 await self._not_stalled.wait()
@@ -91,7 +91,7 @@
 
 
 class SoakEnvironment:
-    """The troubles of one seed. What starts and ends one process is done one after the other."""
+    """Injects the faults of one seed. Faults that restart the same process are serialized by a lock."""
 
     def __init__(
         self,
@@ -109,7 +109,7 @@
         self._restart_locks: dict[int, trio.Lock] = defaultdict(trio.Lock)
 
     async def inject(self, event: SoakEvent, peers: trio.Nursery) -> None:
-        """Waits for the event's time, carries it out and notes when it was in force."""
+        """Waits for the event's time, injects its fault and records when it was in force."""
         await trio.sleep(max(0.0, event.at - self._state.now()))
         if isinstance(event.fault, EnvironmentFault):
             await self._inject_campaign_fault(event, event.fault)
@@ -160,14 +160,14 @@
                 await self._fail_calls(event, FailingCall[fault.name])
 
     async def _hang_host(self, event: SoakEvent) -> None:
-        """Connections come up no more, and what is open stays open and silent."""
+        """Makes the host accept attempts and leave them unanswered."""
         host = self._state.hosts[event.target]
         host.hanging = True
         await trio.sleep(event.duration_s)
         host.hanging = False
 
     async def _freeze(self, hosts: list[CampaignHost], duration_s: float, *, resets: bool) -> None:
-        """They take connections and bytes and begin nothing."""
+        """Makes the hosts accept connections and data, but begin no request."""
         for host in hosts:
             host.freeze()
         await trio.sleep(duration_s)
@@ -175,7 +175,7 @@
             host.thaw(resets=resets)
 
     async def _make_unreachable(self, host: CampaignHost, duration_s: float) -> None:
-        """Open connections fall silent, new ones do not come up; all are reset once the host is back."""
+        """Silences open connections and establishes no new ones; at the end the silent ones are reset."""
         host.freeze()
         host.stop_connecting()
         await trio.sleep(duration_s)
@@ -183,7 +183,7 @@
         host.thaw(resets=True)
 
     async def _send_signal_series(self, event: SoakEvent) -> None:
-        """Two restarts with a reload in between, the second within a second of the first start."""
+        """Restarts the dispatcher twice with a reload in between, with pauses up to MAX_SIGNAL_PAUSE_S."""
         dispatcher = self._state.dispatchers[event.target]
         rng = random.Random(f"signals {self._state.seed} {event.at}")
         async with self._restart_locks[event.target]:
@@ -194,7 +194,7 @@
             await self._processes.restart(dispatcher)
 
     async def _flood_with_incomplete_requests(self, dispatcher: Dispatcher, duration_s: float) -> None:
-        """New connections all the time, each with half a request and no more, over restarts as well."""
+        """Keeps opening connections that send half a request each, also during restarts."""
         dispatcher.begin_flood(self._state.now())
         streams: list[trio.SocketStream] = []
         ends_at = self._state.now() + duration_s
@@ -221,7 +221,7 @@
         await trio.sleep(RELOAD_TIME_S)
 
     async def _move_discovery(self, dispatcher: Dispatcher, peers: trio.Nursery) -> None:
-        """Another agent has the list; the configuration names it, and SIGHUP says so."""
+        """Moves the endpoint list to a new agent, names it in the configuration, and sends SIGHUP."""
         program = dispatcher.program
         agent = Agent(program.number, self._state.endpoint_list(), {}, self._state.now)
         agent.begin_at(self._state.agents[program.number].version)
--- a/violetstack/rehearsal/fleet/soak_faults.py
+++ b/violetstack/rehearsal/fleet/soak_faults.py
@@ -1,4 +1,4 @@
-"""The troubles of a soak: those of the campaign and more, several of which overlap in time."""
+"""The faults of a soak: those of the campaign and further ones, several of which overlap in time."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SoakFault(Enum):
-    """What befalls a dispatcher beyond the campaign's faults."""
+    """The faults of a soak in addition to those of the campaign."""
 
     SOCKET_ENFILE = "socket ENFILE"
     SOCKET_EMFILE = "socket EMFILE"
@@ -50,7 +50,7 @@
 
 
 class FailingCall(Enum):
-    """The system call of a fault: the call, its error, and how many calls there are for each that fails."""
+    """The failing system call of a fault: the call, its error number, and its period in calls."""
 
     SOCKET_ENFILE = (SystemCall.SOCKET, errno.ENFILE, 1)
     SOCKET_EMFILE = (SystemCall.SOCKET, errno.EMFILE, 1)
@@ -79,19 +79,19 @@
 }
 LATE_START_CHANCE = 0.3
 LATE_START_SHARE = 0.4
-"""Of a soak's time, before the first trouble."""
+"""The share of the duration before the first fault, for seeds that start late."""
 FAULT_FREE_END_S = 3.0
 WAVE_INTERVAL_S = (1.5, 3.5)
-"""From one wave of troubles to the next."""
+"""The shortest and longest time from one wave of faults to the next."""
 SAME_TARGET_CHANCE = 0.7
 RESTART_IN_EACH_WAVE_CHANCE = 0.5
-"""Of seeds in which each wave restarts a dispatcher, whatever else befalls it."""
+"""The share of seeds in which each wave restarts a dispatcher, in addition to its other faults."""
 RESTART_FAULTS = (EnvironmentFault.SIGTERM, EnvironmentFault.SIGTERM, SoakFault.SIGNAL_SERIES)
 
 
 @dataclass(frozen=True)
 class SoakEvent:
-    """A trouble, `target` being a dispatcher's or a host's number."""
+    """A fault of the soak; `target` is the number of a dispatcher or host."""
 
     at: float
     duration_s: float
@@ -100,12 +100,12 @@
 
 
 def is_host_fault(fault: InjectedFault) -> bool:
-    """Whether the fault's target is a host."""
+    """Returns whether the fault's target is a host."""
     return fault.name.startswith("HOST")
 
 
 def draw_soak(seed: int, duration_s: float, dispatchers: int, hosts: int) -> list[SoakEvent]:
-    """Waves of two or three troubles that overlap, mostly at the same dispatcher."""
+    """Draws waves of two or three overlapping faults, most of them at the same dispatcher."""
     rng = random.Random(f"soak {seed}")
     faults: list[InjectedFault] = [*EnvironmentFault, *SoakFault]
     rng.shuffle(faults)
@@ -131,7 +131,7 @@
 
 
 def fault_duration_s(fault: InjectedFault) -> float:
-    """For how long the fault is in force, in seconds."""
+    """Returns how long the fault is in force, in seconds."""
     if isinstance(fault, SoakFault):
         return SOAK_FAULT_DURATIONS_S.get(fault, DEFAULT_FAULT_DURATION_S)
     return FAULT_DURATIONS_S.get(fault, DEFAULT_FAULT_DURATION_S)
