--- a/tests/test_fault_campaign.py
+++ b/tests/test_fault_campaign.py
@@ -1,4 +1,4 @@
-"""The fault campaign: what is drawn from a seed, and one short case on real sockets."""
+"""Tests of the fault campaign: the drawing of cases from seeds, and one short case on real sockets."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
 
 SEEDS = range(1, 201)
 SHORT_CASE = 63
-"""Complete lists from discovery, and a dispatcher that is killed: no dispatcher is stopped."""
-PLAYS = 4
+"""Discovery sends complete lists and a dispatcher is killed; no dispatcher is stopped by SIGSTOP."""
+MAX_RUNS = 4
 
 
-def switches(part: str, name: str) -> Callable[[Deployment], Any]:
-    return lambda deployment: deployment.message[part][name]
+def setting(section: str, name: str) -> Callable[[Deployment], Any]:
+    return lambda deployment: deployment.message[section][name]
 
 
 @pytest.mark.parametrize(
     ("value", "values"),
     [
-        (switches("limits", "cancel"), {True, False}),
-        (switches("limits", "may_duplicate"), {True, False}),
-        (switches("limits", "probes"), {True, False}),
-        (switches("limits", "peers"), {True, False}),
-        (switches("limits", "retry_after"), {True, False}),
-        (switches("limits", "max_attempts"), {1, 2, 3, 4, 5, 6}),
-        (switches("family_info", "ahead"), {True, False}),
-        (switches("family_info", "resume"), {True, False}),
-        (switches("family_info", "local_read"), {True, False}),
-        (switches("rules", "stop_sending_within"), {250.0, 1000.0}),
+        (setting("limits", "cancel"), {True, False}),
+        (setting("limits", "may_duplicate"), {True, False}),
+        (setting("limits", "probes"), {True, False}),
+        (setting("limits", "peers"), {True, False}),
+        (setting("limits", "retry_after"), {True, False}),
+        (setting("limits", "max_attempts"), {1, 2, 3, 4, 5, 6}),
+        (setting("family_info", "ahead"), {True, False}),
+        (setting("family_info", "resume"), {True, False}),
+        (setting("family_info", "local_read"), {True, False}),
+        (setting("rules", "stop_sending_within"), {250.0, 1000.0}),
         (lambda deployment: deployment.message["report"] is None, {True, False}),
         (lambda deployment: len(deployment.zones), {1, 2, 3}),
         (lambda deployment: len(deployment.tenants), {0, 1, 3}),
@@ -60,39 +60,45 @@
         ),
     ],
 )
-def test_deployments_cover_the_settings(value: Callable[[Deployment], Any], values: set[Any]) -> None:
+def test_drawn_deployments_cover_all_values_of_the_settings(
+    value: Callable[[Deployment], Any], values: set[Any]
+) -> None:
     assert {value(draw_deployment(seed)) for seed in SEEDS} == values
 
 
-def test_each_deployment_has_a_class_of_each_effect_and_windows_shorter_than_an_attempt() -> None:
-    shorter = 0
+def test_each_deployment_has_all_idempotency_kinds_and_some_have_short_deduplication_windows() -> None:
+    short_windows = 0
     for seed in SEEDS:
         classes = draw_deployment(seed).settings.classes
-        assert {each.idempotency for each in classes} == set(Idempotency)
-        keyed = next(each for each in classes if each.idempotency is Idempotency.IDEMPOTENCY_KEY)
-        shorter += keyed.deduplication_window_ms < keyed.latency_objective_ms
-    assert shorter > len(SEEDS) / 4
+        assert {request_class.idempotency for request_class in classes} == set(Idempotency)
+        keyed = next(
+            request_class
+            for request_class in classes
+            if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+        )
+        short_windows += keyed.deduplication_window_ms < keyed.latency_objective_ms
+    assert short_windows > len(SEEDS) / 4
     timeouts = {timeout_s for seed in SEEDS for timeout_s in draw_deployment(seed).timeouts_s}
     assert min(timeouts) == 0.3
     assert max(timeouts) == 15.0
 
 
-def test_a_seed_draws_the_same_case_again() -> None:
+def test_a_seed_always_draws_the_same_case() -> None:
     assert draw_deployment(7) == draw_deployment(7)
     assert draw_environment(7, 4.0, 3, 5) == draw_environment(7, 4.0, 3, 5)
     first = ScriptSource(7)
     second = ScriptSource(7)
     for _ in range(50):
-        one = first.draw()
-        other = second.draw()
-        assert (one.client_disconnect, one.behaviour, one.host_faults) == (
-            other.client_disconnect,
-            other.behaviour,
-            other.host_faults,
+        script = first.draw()
+        repeated = second.draw()
+        assert (script.client_disconnect, script.behaviour, script.host_faults) == (
+            repeated.client_disconnect,
+            repeated.behaviour,
+            repeated.host_faults,
         )
 
 
-def test_scripts_pair_each_end_of_a_client_with_each_fault_of_a_host() -> None:
+def test_scripts_pair_each_client_disconnect_with_each_host_fault() -> None:
     drawn: set[tuple[ClientDisconnect, HostFault]] = set()
     for seed in SEEDS:
         source = ScriptSource(seed)
@@ -104,33 +110,33 @@
     assert drawn >= set(product(CLIENT_DISCONNECTS, faults))
 
 
-def test_environments_bring_every_fault_in_time() -> None:
+def test_every_environment_fault_is_drawn_within_the_duration() -> None:
     drawn = [event for seed in SEEDS for event in draw_environment(seed, 4.0, 3, 5)]
     assert {event.fault for event in drawn} == set(EnvironmentFault)
     assert all(0.0 < event.at < 4.0 for event in drawn)
 
 
-def test_seeds_are_read_as_numbers_and_ranges() -> None:
+def test_seeds_are_parsed_as_numbers_and_ranges() -> None:
     assert parse_seeds("7") == [7]
     assert parse_seeds("1,5-7") == [1, 5, 6, 7]
     with pytest.raises(click.UsageError, match="'x' is no number"):
         parse_seeds("1,x")
 
 
-def judged_case(seed: int) -> CaseResult:
-    """The first play that is not void, as one is on a machine without processor time."""
-    for _ in range(PLAYS):
+def run_until_not_void(seed: int) -> CaseResult:
+    """Returns the first result that is not void; results are void if the machine has no processor time."""
+    for _ in range(MAX_RUNS):
         result = play_case(seed, duration_s=1.5)
         if not result.void:
             return result
     pytest.fail(
-        f"void: observers {result.lag_s} s late, a dispatcher {result.starved_s} s without a processor"
+        f"all runs void: lag {result.lag_s} s, dispatchers waited {result.starved_s} s for a processor"
     )
 
 
-def test_a_short_case_breaks_no_rule() -> None:
-    result = judged_case(SHORT_CASE)
-    assert [each.text for each in result.violations] + result.crashed == []
+def test_a_short_case_violates_no_rule() -> None:
+    result = run_until_not_void(SHORT_CASE)
+    assert [violation.text for violation in result.violations] + result.crashed == []
     assert result.requests >= 20
     assert result.statuses["served"] >= 5
     assert result.attempts >= 20
--- a/tests/test_fault_findings.py
+++ b/tests/test_fault_findings.py
@@ -1,6 +1,6 @@
-"""Faults that the campaign found, each alone on a real dispatcher process.
+"""Regression tests of the faults that the campaign found, each on a real dispatcher process.
 
-The limits are wide: a process that does what it should needs a tenth of them.
+The time limits are wide: a correct process needs a tenth of them.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class RecordingHost(ModelHost):
-    """Keeps the deadline that each attempt was given, in milliseconds."""
+    """A model host that records the `Req-Deadline` of each attempt, in milliseconds."""
 
     def __init__(self, name: str, kind: str, *acts: Act) -> None:
         super().__init__(name, kind, *acts)
@@ -33,41 +33,43 @@
         await super().handle(inbound, connection)
 
 
-async def _request_bytes(process: DispatcherProcess, request: str, **more: str) -> bytes:
-    rows = [
+async def _request_bytes(process: DispatcherProcess, request: str, **headers: str) -> bytes:
+    header_lines = [
         ("Host", "app.svc"),
-        *platform_headers(request, "consulta", **more),
+        *platform_headers(request, "consulta", **headers),
         ("Content-Length", str(len(BODY))),
     ]
-    head = "POST /v1/chat/completions HTTP/1.1\r\n" + "".join(f"{name}: {value}\r\n" for name, value in rows)
+    head = "POST /v1/chat/completions HTTP/1.1\r\n" + "".join(
+        f"{name}: {value}\r\n" for name, value in header_lines
+    )
     return head.encode() + b"\r\n" + BODY
 
 
-def test_a_stream_goes_on_after_a_stop_that_is_longer_than_its_timeout() -> None:
-    """It was never read again, and the process spun."""
+def test_a_stream_continues_after_a_stop_longer_than_its_timeout() -> None:
+    """Guards against the dispatcher never reading the stream again while it used a whole processor."""
 
-    async def story() -> None:
-        ended = trio.Event()
-        decode = ModelHost("w0", "decode", Act(events=3, pause=ended))
+    async def scenario() -> None:
+        may_end = trio.Event()
+        decode = ModelHost("w0", "decode", Act(events=3, pause=may_end))
         async with dispatcher_process(ModelHost("r0", "prefill"), decode) as process:
             call = await process.send_request("q1")
             await call.receive(events=1)
             process.program.send(signal.SIGSTOP)
             await trio.sleep(1.0)
-            ended.set()
+            may_end.set()
             await trio.sleep(3.7)
             process.program.send(signal.SIGCONT)
             with trio.fail_after(3.0):
                 answer = await call.receive()
         assert answer.outcome == "served"
 
-    trio.run(story)
+    trio.run(scenario)
 
 
-def test_a_request_that_came_during_a_stop_is_answered() -> None:
-    """Its connection was closed unread, as the time for a first request was over."""
+def test_a_request_that_arrived_during_a_stop_is_answered() -> None:
+    """Guards against closing its connection unread because the time limit for a first request had passed."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with dispatcher_process(ModelHost("r0", "prefill"), ModelHost("w0", "decode")) as process:
             call = await connect(process.address)
             await trio.sleep(0.3)
@@ -80,13 +82,13 @@
                 answer = await call.receive()
         assert answer.outcome == "served"
 
-    trio.run(story)
+    trio.run(scenario)
 
 
-def test_a_request_whose_rest_came_during_a_stop_is_served() -> None:
-    """It was answered 408, although all of it lay in the socket."""
+def test_a_request_whose_rest_arrived_during_a_stop_is_served() -> None:
+    """Guards against an answer 408 although all of the request was in the socket's receive buffer."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with dispatcher_process(ModelHost("r0", "prefill"), ModelHost("w0", "decode")) as process:
             data = await _request_bytes(process, "q1")
             call = await connect(process.address)
@@ -98,16 +100,16 @@
             await trio.sleep(2.3)
             process.program.send(signal.SIGCONT)
             with trio.fail_after(3.0):
-                told = await call.stream.receive_some(64)
-        assert told.startswith(b"HTTP/1.1 200")
+                response = await call.stream.receive_some(64)
+        assert response.startswith(b"HTTP/1.1 200")
 
-    trio.run(story)
+    trio.run(scenario)
 
 
-def test_the_deadline_of_a_request_that_came_during_a_stop_is_what_is_left() -> None:
-    """With a drain grace of 1 s no stop of under 1 s counted."""
+def test_a_request_that_arrived_during_a_stop_is_forwarded_with_the_remaining_deadline() -> None:
+    """Guards against ignoring stops of under 1 s when the drain grace is 1 s."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         prefill = RecordingHost("r0", "prefill")
         decode = RecordingHost("w0", "decode")
         async with dispatcher_process(prefill, decode, settings=LARGE_DRAIN_GRACE) as process:
@@ -118,15 +120,15 @@
             process.program.send(signal.SIGCONT)
             with trio.fail_after(3.0):
                 await call.receive()
-        assert all(each <= 350 for each in prefill.deadlines_ms + decode.deadlines_ms)
+        assert all(deadline_ms <= 350 for deadline_ms in prefill.deadlines_ms + decode.deadlines_ms)
 
-    trio.run(story)
+    trio.run(scenario)
 
 
-def test_a_request_whose_time_passed_during_a_stop_is_not_forwarded() -> None:
-    """It was forwarded as if it had just come."""
+def test_a_request_whose_deadline_passed_during_a_stop_is_not_forwarded() -> None:
+    """Guards against forwarding it as if it had just arrived."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         prefill = ModelHost("r0", "prefill")
         async with dispatcher_process(prefill, ModelHost("w0", "decode")) as process:
             process.program.send(signal.SIGSTOP)
@@ -139,21 +141,21 @@
         assert answer.status in (429, 503)
         assert prefill.received_ids == []
 
-    trio.run(story)
+    trio.run(scenario)
 
 
 def test_a_pipelined_request_is_served_and_the_process_ends() -> None:
-    """It was never taken up, and the process did not end after SIGTERM."""
+    """Guards against never processing the request, which also kept the process alive after SIGTERM."""
 
-    async def story() -> None:
-        begin = trio.Event()
-        prefill = ModelHost("r0", "prefill", Act(status=202, before=begin))
+    async def scenario() -> None:
+        may_answer = trio.Event()
+        prefill = ModelHost("r0", "prefill", Act(status=202, before=may_answer))
         async with dispatcher_process(prefill, ModelHost("w0", "decode")) as process:
             call = await process.send_request("q1")
             await prefill.until(lambda: prefill.received_ids == ["q1"])
             await call.stream.send_all(await _request_bytes(process, "q2"))
             await trio.sleep(0.2)
-            begin.set()
+            may_answer.set()
             with trio.fail_after(3.0):
                 await prefill.until(lambda: "q2" in prefill.received_ids)
                 received = b""
@@ -162,16 +164,16 @@
             process.program.send(signal.SIGTERM)
             assert await process.ended_within(3.0)
 
-    trio.run(story)
+    trio.run(scenario)
 
 
-def test_a_request_that_came_behind_a_stream_during_a_stop_is_as_old_as_it_is_when_its_turn_comes() -> None:
-    """It counted from the moment at which it was read: its host was told what had passed before."""
+def test_the_age_of_a_pipelined_request_that_arrived_during_a_stop_includes_the_stop() -> None:
+    """Guards against counting from the time of reading, which gave the host a deadline that was too long."""
 
-    async def story() -> None:
-        ended = trio.Event()
+    async def scenario() -> None:
+        may_end = trio.Event()
         prefill = RecordingHost("r0", "prefill")
-        decode = ModelHost("w0", "decode", Act(events=2, pause=ended))
+        decode = ModelHost("w0", "decode", Act(events=2, pause=may_end))
         async with dispatcher_process(prefill, decode) as process:
             call = await process.send_request("q1", Req_Deadline="5000m")
             await call.receive(events=1)
@@ -182,21 +184,21 @@
             await trio.sleep(0.8)
             process.program.send(signal.SIGCONT)
             await trio.sleep(0.5)
-            ended.set()
+            may_end.set()
             with trio.fail_after(3.0):
                 await prefill.until(lambda: prefill.received_ids == ["q1", "q2"])
             left_ms = 1800.0 - (trio.current_time() - sent_at) * 1000.0
         assert prefill.deadlines_ms[1] <= left_ms + 150.0
 
-    trio.run(story)
+    trio.run(scenario)
 
 
-def test_a_request_that_came_long_after_sigterm_in_the_same_stop_is_refused() -> None:
-    """It was read and forwarded before the shutdown had begun: its stream would be cut by SIGKILL."""
+def test_a_request_that_arrived_long_after_sigterm_in_the_same_stop_is_rejected() -> None:
+    """Guards against forwarding it before the shutdown begins: SIGKILL would cut its stream."""
 
-    async def story() -> None:
-        ended = trio.Event()
-        decode = ModelHost("w0", "decode", Act(), Act(events=2, pause=ended))
+    async def scenario() -> None:
+        may_end = trio.Event()
+        decode = ModelHost("w0", "decode", Act(), Act(events=2, pause=may_end))
         async with dispatcher_process(ModelHost("r0", "prefill"), decode) as process:
             call = await process.send_request("q1")
             assert (await call.receive()).outcome == "served"
@@ -208,22 +210,22 @@
             await trio.sleep(0.1)
             process.program.send(signal.SIGCONT)
             with trio.fail_after(2.0):
-                told = await call.stream.receive_some(64)
-        assert told.startswith(b"HTTP/1.1 503")
+                response = await call.stream.receive_some(64)
+        assert response.startswith(b"HTTP/1.1 503")
         assert decode.received_ids == ["q1"]
 
-    trio.run(story)
+    trio.run(scenario)
 
 
-def test_a_request_that_came_during_a_stop_is_as_old_though_the_first_read_after_it_fails() -> None:
-    """The read that failed for a moment was made again when the stop no longer showed."""
+def test_the_age_of_a_request_that_arrived_during_a_stop_includes_the_stop_if_the_first_read_fails() -> None:
+    """Guards against a repeated read, after a transient error, that no longer takes the stop into account."""
     faults = ProcessFaults()
 
     def prepare(program: Program) -> None:
         program.preload = {"LD_PRELOAD": str(build_shim()), "SOAK_FAULTS_FD": str(faults.descriptor)}
         program.shared = (faults.descriptor,)
 
-    async def story() -> None:
+    async def scenario() -> None:
         prefill = RecordingHost("r0", "prefill")
         async with dispatcher_process(prefill, ModelHost("w0", "decode"), prepare=prepare) as process:
             call = await process.send_request("q1", Req_Deadline="5000m")
@@ -242,5 +244,5 @@
             left_ms = 1400.0 - (trio.current_time() - sent_at) * 1000.0
         assert prefill.deadlines_ms[1] <= left_ms + 150.0
 
-    trio.run(story)
+    trio.run(scenario)
     faults.close()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what is drawn from a seed, the shim of faulty calls, and one short seed on real processes."""
+"""Tests of the soak: the drawing of faults, the shim for system calls, and seeds on real processes."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 SEEDS = range(1, 101)
 DURATION_S = 30.0
-PLAYS = 3
-SEED_PROCESSES = 5
-SEED_DURATION_S = 21.0
+MAX_RUNS = 3
+REGRESSION_PROCESSES = 5
+REGRESSION_DURATION_S = 21.0
 SHORT_EVENTS = [
     SoakEvent(0.3, 1.0, SoakFault.SOCKET_ENFILE, 0),
     SoakEvent(0.4, 1.5, SoakFault.LOG_STALLS, 0),
@@ -51,7 +51,7 @@
 """
 
 
-def test_a_seed_draws_the_same_troubles_again_and_all_of_them_come_up() -> None:
+def test_a_seed_always_draws_the_same_faults_and_all_faults_are_drawn() -> None:
     assert draw_soak(3, DURATION_S, 24, 6) == draw_soak(3, DURATION_S, 24, 6)
     drawn = [event for seed in SEEDS for event in draw_soak(seed, DURATION_S, 24, 6)]
     assert {event.fault for event in drawn} == {*EnvironmentFault, *SoakFault}
@@ -59,26 +59,27 @@
     assert all(event.target < (6 if event.fault.name.startswith("HOST") else 24) for event in drawn)
 
 
-def test_most_troubles_overlap_another() -> None:
+def test_most_faults_overlap_another_fault() -> None:
     overlapping = 0
     events = draw_soak(3, DURATION_S, 24, 6)
     for event in events:
-        others = [each for each in events if each is not event]
+        others = [candidate for candidate in events if candidate is not event]
         overlapping += any(
-            o.at <= event.at + event.duration_s and event.at <= o.at + o.duration_s for o in others
+            other.at <= event.at + event.duration_s and event.at <= other.at + other.duration_s
+            for other in others
         )
     assert overlapping >= 0.8 * len(events)
 
 
-def test_half_of_the_seeds_restart_a_dispatcher_in_each_wave() -> None:
+def test_about_half_of_the_seeds_restart_a_dispatcher_in_each_wave() -> None:
     restarts = {EnvironmentFault.SIGTERM, SoakFault.SIGNAL_SERIES}
-    often = sum(
+    frequent = sum(
         sum(event.fault in restarts for event in draw_soak(seed, DURATION_S, 24, 6)) > 5 for seed in SEEDS
     )
-    assert 0.3 < often / len(SEEDS) < 0.7
+    assert 0.3 < frequent / len(SEEDS) < 0.7
 
 
-def test_clients_that_go_on_with_a_connection_come_up() -> None:
+def test_all_client_behaviours_and_slow_readers_that_send_during_a_stream_are_drawn() -> None:
     source = ScriptSource(1)
     scripts = [source.draw() for _ in range(400)]
     behaviours = {script.behaviour for script in scripts}
@@ -86,8 +87,8 @@
     assert any(script.reads_slowly and script.behaviour in SENDS_DURING_STREAM for script in scripts)
 
 
-class FailingRehearsal:
-    """Plays the seed that it is given, and fails at another."""
+class FailingSoak:
+    """Replaces `play_soak`: returns the given result, but raises an error for seed 2."""
 
     def __init__(self, result: CaseResult) -> None:
         self._result = result
@@ -98,28 +99,28 @@
         return self._result
 
 
-def test_a_fault_of_the_rehearsal_costs_one_seed_and_too_many_fail_the_run(
+def test_a_seed_that_raises_is_void_and_too_many_void_seeds_fail_the_run(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """It ended the whole run with a traceback and no verdict."""
-    judged = CaseResult(1, "", [], 1, 1, {}, [], [], 0.0, 0.0, [], [], {}, [], {})
-    monkeypatch.setattr(soak_command, "play_soak", FailingRehearsal(judged))
+    """Guards against an error in one seed ending the whole run with a traceback and without a verdict."""
+    result = CaseResult(1, "", [], 1, 1, {}, [], [], 0.0, 0.0, [], [], {}, [], {})
+    monkeypatch.setattr(soak_command, "play_soak", FailingSoak(result))
     assert soak_command.run_soak([*range(1, 40)], 3, 1.0, shrinks=False) == 0
     assert "seed 2: void, the rehearsal failed: BusyResourceError" in capsys.readouterr().out
     assert soak_command.run_soak([1, 2, 3], 3, 1.0, shrinks=False) == 1
 
 
-def test_each_failing_call_is_a_fault() -> None:
-    assert {each.name for each in FailingCall} <= {each.name for each in SoakFault}
+def test_each_failing_call_has_a_soak_fault_of_the_same_name() -> None:
+    assert {fault.name for fault in FailingCall} <= {fault.name for fault in SoakFault}
 
 
 @pytest.fixture(scope="module")
 def shim() -> Path:
-    assert shutil.which("cc"), "the soak's shim needs a C compiler"
+    assert shutil.which("cc"), "building the shim of the soak requires a C compiler (cc)"
     return build_shim()
 
 
-def test_the_shim_fails_calls_and_steps_the_wall_clock(shim: Path) -> None:
+def test_the_shim_makes_calls_fail_and_steps_the_wall_clock(shim: Path) -> None:
     faults = ProcessFaults()
     faults.fail(SystemCall.SOCKET, errno.ENFILE)
     faults.fail(SystemCall.SEND, 0)
@@ -141,27 +142,29 @@
     faults.close()
 
 
-def play_until_judged(plan: SoakPlan, events: list[SoakEvent] | None = None) -> CaseResult:
-    """Plays a seed again, twice at most, if it was void for want of processor time."""
-    for _ in range(PLAYS):
+def run_until_not_void(plan: SoakPlan, events: list[SoakEvent] | None = None) -> CaseResult:
+    """Returns the first result that is not void; results are void if the machine has no processor time."""
+    for _ in range(MAX_RUNS):
         result = play_soak(plan, events)
         if not result.void:
             return result
-    pytest.fail(f"void: lag {result.lag_s} s, starved {result.starved_s} s")
+    pytest.fail(
+        f"all runs void: lag {result.lag_s} s, dispatchers waited {result.starved_s} s for a processor"
+    )
 
 
-def test_a_short_soak_breaks_no_rule(shim: Path) -> None:
-    result = play_until_judged(SoakPlan(1, 3, 3.0, shim), SHORT_EVENTS)
-    assert [each.text for each in result.violations] + result.crashed == []
+def test_a_short_soak_violates_no_rule(shim: Path) -> None:
+    result = run_until_not_void(SoakPlan(1, 3, 3.0, shim), SHORT_EVENTS)
+    assert [violation.text for violation in result.violations] + result.crashed == []
     assert result.invariants == {}
     assert result.triples
     assert result.statuses["served"] >= 5
 
 
 @pytest.mark.parametrize("seed", [6001, 6002])
-def test_seeds_that_held_too_long_before_the_incident_was_mended_break_no_rule(shim: Path, seed: int) -> None:
-    """On 223878c 15 and 6 requests were held too long (incident of 2026-12-02, held state)."""
-    result = play_until_judged(SoakPlan(seed, SEED_PROCESSES, SEED_DURATION_S, shim))
-    assert [each.text for each in result.violations] + result.crashed == []
+def test_seeds_that_once_held_state_too_long_violate_no_rule(shim: Path, seed: int) -> None:
+    """On 223878c, 15 and 6 of their requests were held too long (incident of 2026-12-02, held state)."""
+    result = run_until_not_void(SoakPlan(seed, REGRESSION_PROCESSES, REGRESSION_DURATION_S, shim))
+    assert [violation.text for violation in result.violations] + result.crashed == []
     assert result.invariants == {}
     assert result.statuses["served"] >= 100
