--- a/violetstack/settings.py
+++ b/violetstack/settings.py
@@ -200,7 +200,7 @@
         dispatcher_count=max(1, message.fleet_size),
         zone=message.zone,
         classes=tuple(_class_settings(item, i, two_stage) for i, item in enumerate(message.classes)),
-        tenants=tuple(_tenant_settings(tenant) for tenant in message.parties or ()),
+        tenants=tuple(_tenant_settings(item) for item in message.parties or ()),
         over_quota_weight=_or_default(message.over_share_worth, 1.0),
         roles=roles,
         memory_tokens=tuple(two_stage.kv_tokens or ()),
