--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin API: its requests, the metrics against a recount, and its operations over sockets."""
+"""The admin API: its requests, its metrics compared with a recount, and its operations over sockets."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class FakeOperations:
-    """A dispatcher of two endpoints, `a` and `b`, that records its cordons and its log lines."""
+    """The operations of a dispatcher with the endpoints `a` and `b`; records cordons and log lines."""
 
     def __init__(self) -> None:
         self.started = True
@@ -99,12 +99,12 @@
     "post to stats": (post("/admin/stats", b""), 405),
     "no id": (post("/admin/cordon", b" \n"), 400),
     "two ids": (post("/admin/cordon", b"a b"), 400),
-    "id that is no text": (post("/admin/cordon", b"\xff\xfe"), 400),
-    "no leave yet": (post("/admin/leave", b""), 503),
-    "no name of a duty": (post("/admin/resign", b""), 400),
+    "id that is not UTF-8": (post("/admin/cordon", b"\xff\xfe"), 400),
+    "restart permit denied": (post("/admin/leave", b""), 503),
+    "no lease name": (post("/admin/resign", b""), 400),
     "unknown id": (post("/admin/cordon", b"nobody"), 404),
     "oversized": (post("/admin/cordon", b"", MAX_BODY_BYTES + 1), 413),
-    "noise": (b"\x16\x03\x01\r\n\r\n", 400),
+    "invalid HTTP": (b"\x16\x03\x01\r\n\r\n", 400),
 }
 
 
@@ -119,7 +119,7 @@
     assert [line["status"] for line in operations.lines] == [status]
 
 
-def test_requests_are_rejected_before_the_start_and_health_while_not_accepting() -> None:
+def test_cordons_are_rejected_before_the_start_and_health_fails_while_not_accepting() -> None:
     operations = FakeOperations()
     operations.accepting = False
     assert response_to(operations, get("/admin/health")).startswith(b"HTTP/1.1 503 ")
@@ -131,10 +131,10 @@
 
 
 @given(st.integers(1, 80), st.sampled_from([get("/admin/health"), post("/admin/cordon", b"a\n")]))
-def test_a_request_may_arrive_in_any_two_parts(cut: int, request: bytes) -> None:
+def test_a_request_may_arrive_in_two_parts_split_anywhere(split: int, request: bytes) -> None:
     operations = FakeOperations()
     connection = AdminConnection(operations, operations.log)
-    responses = [connection.feed(part) for part in (request[:cut], request[cut:]) if part]
+    responses = [connection.feed(part) for part in (request[:split], request[split:]) if part]
     assert [response for response in responses if response] == [response_to(FakeOperations(), request)]
 
 
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "body"),
+    ("request_bytes", "body"),
     [
         (get("/admin/health"), b'{"status":"serving"}\n'),
         (get("/admin/stats"), EMPTY_STATS),
@@ -159,15 +159,15 @@
         (post("/admin/leave", b""), b'{"error":"leave:0 is held by 3"}\n'),
     ],
 )
-def test_the_json_of_each_response_keeps_its_names(sent: bytes, body: bytes) -> None:
-    assert response_to(FakeOperations(), sent).endswith(b"\r\n\r\n" + body)
+def test_each_response_has_the_documented_names(request_bytes: bytes, body: bytes) -> None:
+    assert response_to(FakeOperations(), request_bytes).endswith(b"\r\n\r\n" + body)
 
 
 # --- metrics ---
 
 
 def random_status(rng: random.Random, core: Dispatcher, attempt: Attempt, now: float) -> AttemptStatus:
-    """Starts a decode's stream if the core allows it, and returns how the attempt ends."""
+    """Returns a random status for the attempt; starts the stream of a decode first if the core allows it."""
     if attempt.is_prefill:
         return rng.choice(
             [AttemptStatus.PREFILLED, AttemptStatus.PREFILLED, AttemptStatus.ERROR, AttemptStatus.REJECTED]
@@ -179,7 +179,7 @@
 
 @given(st.integers(0, 2**32))
 def test_metrics_agree_with_a_recount_of_random_requests(seed: int) -> None:
-    """Clients that disconnect, attempts that end in every way, and the real policy."""
+    """Clients disconnect and attempts end with random statuses; the policy is the real one."""
     rng = random.Random(seed)
     ports = RecordingPorts()
     now = 1000.0
@@ -229,8 +229,8 @@
     return orjson.loads((await raw(on.admin, get("/admin/stats"))).partition(b"\r\n\r\n")[2])
 
 
-def test_metrics_of_both_fronts_match_what_their_clients_saw() -> None:
-    reader, writer = pair(Act(), ERROR, CUT, Act(), Act(pause=trio.Event()))
+def test_metrics_of_both_fronts_match_the_outcomes_at_their_clients() -> None:
+    prefill_host, decode_host = pair(Act(), ERROR, CUT, Act(), Act(pause=trio.Event()))
 
     async def story(on: Stage) -> None:
         empty = {"fulfilled": 0, "throttled": 0, "faulted": 0}
@@ -246,13 +246,13 @@
         assert metrics["operations"]["consulta"] == {"fulfilled": 1, "throttled": 0, "faulted": 0}
         assert (metrics["open_requests"], metrics["relayed"]) == (
             1,
-            len(reader.received_ids) + len(writer.received_ids),
+            len(prefill_host.received_ids) + len(decode_host.received_ids),
         )
         assert (metrics["registry_entries"], metrics["out_of_rotation"]) == (2, 0)
         await raw(on.admin, post("/admin/cordon", b"w"))
         assert (await stats(on))["out_of_rotation"] == 1
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
 # --- over sockets ---
@@ -260,10 +260,10 @@
 
 def test_a_cordoned_host_gets_no_new_work_until_it_is_uncordoned() -> None:
     async def story(on: Stage) -> None:
-        reader, writer = hosts
+        prefill_host, decode_host = hosts
         assert (await raw(on.admin, post("/admin/cordon", b"w"))).startswith(b"HTTP/1.1 200 ")
         assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "refused"
-        on.discovery.publish(writer.row())  # whatever lists say meanwhile
+        on.discovery.publish(decode_host.row())  # a list that has the host as healthy
         while on.daemon.watch is None or on.daemon.watch.version != 2:
             await trio.sleep(0.001)
         assert (await ask_platform(on.platform, "q2", "consulta")).outcome == "refused"
@@ -274,20 +274,20 @@
             while (await ask_platform(on.platform, f"b{n}", "consulta")).outcome != "served":
                 n += 1
                 await trio.sleep(0.05)
-        assert "q1" not in reader.received_ids + writer.received_ids  # no decode host could take it
+        assert "q1" not in prefill_host.received_ids + decode_host.received_ids  # no decode host, so no prefill
 
     hosts = pair()
     play(*hosts, story=story)
 
 
-def test_a_cordon_outlasts_a_change_of_discovery_and_the_log_names_a_kind_without_hosts(
+def test_a_cordon_outlasts_a_change_of_discovery_and_the_log_has_the_kind_without_healthy_hosts(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    reader, writer = pair()
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         await raw(on.admin, post("/admin/cordon", b"r"))
-        discovery = Discovery(reader.row(), writer.row(), {**reader.row(), "id": "r2"})
+        discovery = Discovery(prefill_host.row(), decode_host.row(), {**prefill_host.row(), "id": "r2"})
         await on.nursery.start(discovery.serve)
         on.daemon.reload(lambda: on.config(discovery=discovery.address))
         while "r2" not in on.daemon.core.endpoints:
@@ -295,7 +295,7 @@
         assert (await stats(on))["out_of_rotation"] == 1
         assert (await ask_platform(on.platform, "q1", "consulta")).outcome == "served"  # by r2
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
     line = next(row for row in capfd.readouterr().out.splitlines() if '"hosts_cordoned"' in row)
     fields = orjson.loads(line)
     assert (fields["out"], fields["none_left"], fields["by"]) == (["r"], ["prefill"], "call")
@@ -316,14 +316,14 @@
 
 def test_the_admin_api_answers_with_a_thousand_idle_client_connections() -> None:
     async def story(on: Stage) -> None:
-        crowd = []
+        idle_streams = []
         for _ in range(1000):
-            crowd.append(await trio.open_tcp_stream(*on.platform))
-            if len(crowd) % 100 == 0:
+            idle_streams.append(await trio.open_tcp_stream(*on.platform))
+            if len(idle_streams) % 100 == 0:
                 before = trio.current_time()
                 assert "relayed" in await stats(on)
                 assert trio.current_time() - before < 1.0
-        for stream in crowd:
+        for stream in idle_streams:
             await trio.aclose_forcefully(stream)
 
     play(*pair(), story=story)
@@ -331,8 +331,8 @@
 
 def test_the_admin_api_is_not_reachable_from_client_listeners() -> None:
     async def story(on: Stage) -> None:
-        for at in (on.platform, on.chat):
-            call = await connect(at)
+        for address in (on.platform, on.chat):
+            call = await connect(address)
             async with call.stream:
                 await call.send("POST", "/admin/cordon", [], b"w")
                 assert (await call.receive()).status in (401, 404)
--- a/tests/test_cordons.py
+++ b/tests/test_cordons.py
@@ -1,4 +1,4 @@
-"""Cordons: single calls, their bound, and random orders of calls, lists and merges against a model."""
+"""Cordons: single calls, their limit, and random calls, lists and merges compared with a model."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 IDS = [entry.server for entry in LISTED]
 
 
-def full(*entries: Endpoint) -> EndpointUpdate:
+def snapshot(*entries: Endpoint) -> EndpointUpdate:
     return EndpointUpdate(UpdateScope.SNAPSHOT, entries, 1)
 
 
 def test_an_endpoint_cordoned_twice_is_uncordoned_once_and_then_gets_a_slow_start() -> None:
     cordons = Cordons()
-    cordons.apply(full(*LISTED))
+    cordons.apply(snapshot(*LISTED))
     for now in (5_000.0, 6_000.0):
         assert [e.state for e in cordons.cordon(now, IDS[0]).endpoints] == [EndpointState.DRAINING]
     uncordoned = cordons.uncordon(9_000.0, IDS[0]).endpoints[0]
@@ -38,9 +38,9 @@
     )
 
 
-def test_unknown_endpoints_are_rejected_and_a_needless_uncordon_is_not() -> None:
+def test_unknown_endpoints_are_rejected_and_uncordoning_without_a_cordon_changes_nothing() -> None:
     cordons = Cordons()
-    cordons.apply(full(*LISTED[1:]))
+    cordons.apply(snapshot(*LISTED[1:]))
     for call in (cordons.cordon, cordons.uncordon):
         with pytest.raises(UnknownEndpointError):
             call(1.0, IDS[0])
@@ -48,10 +48,10 @@
     assert cordons.records == {}
 
 
-def test_cordons_are_bounded_and_ended_ones_are_forgotten_first() -> None:
+def test_the_number_of_cordons_is_limited_and_ended_ones_are_evicted_first() -> None:
     cordons = Cordons()
-    many = (Endpoint(f"h{n}", 0, 1.0, 0, EndpointState.HEALTHY, 0, None) for n in range(MAX_CORDONS + 1))
-    cordons.apply(full(*many))
+    endpoints = (Endpoint(f"h{n}", 0, 1.0, 0, EndpointState.HEALTHY, 0, None) for n in range(MAX_CORDONS + 1))
+    cordons.apply(snapshot(*endpoints))
     for n in range(MAX_CORDONS):
         cordons.cordon(float(n), f"h{n}")
     with pytest.raises(TooManyCordonsError):
@@ -73,24 +73,24 @@
 
 
 class Processes:
-    """Two processes of one dispatcher, each with its own endpoint list, and a set as the model."""
+    """Two processes of one dispatcher, each with its own endpoint list; `cordoned` is the model."""
 
     def __init__(self) -> None:
         self.cordons = [Cordons(), Cordons()]
-        self.cores: list[dict[str, Endpoint]] = [{}, {}]
+        self.published: list[dict[str, Endpoint]] = [{}, {}]
         self.cordoned: set[str] = set()
 
     def publish(self, process: int, update: EndpointUpdate | None) -> None:
         if update is None:
             return
         if update.scope is not UpdateScope.DELTA:
-            self.cores[process] = {}
-        self.cores[process].update({endpoint.server: endpoint for endpoint in update.endpoints})
+            self.published[process] = {}
+        self.published[process].update({endpoint.server: endpoint for endpoint in update.endpoints})
 
     def call(self, name: str, process: int, endpoint_id: str, now: float) -> None:
-        """Cordons or uncordons at one process; the other one merges its records at once."""
-        listed = self.cores[process].get(endpoint_id, LISTED[0])
-        if endpoint_id not in self.cordoned and listed.state is EndpointState.REMOVED:
+        """Cordons or uncordons at one process; the other process merges the records at once."""
+        endpoint = self.published[process].get(endpoint_id, LISTED[0])
+        if endpoint_id not in self.cordoned and endpoint.state is EndpointState.REMOVED:
             return
         cordons = self.cordons[process]
         if name == "cordon":
@@ -102,7 +102,7 @@
         self.merge(1 - process)
 
     def list_all(self, process: int) -> None:
-        self.publish(process, self.cordons[process].apply(full(*LISTED[:3])))
+        self.publish(process, self.cordons[process].apply(snapshot(*LISTED[:3])))
 
     def remove(self, process: int, endpoint_id: str) -> None:
         removed = Endpoint(endpoint_id, 0, 1.0, 0, EndpointState.REMOVED, 0, None)
@@ -112,20 +112,20 @@
         self.publish(process, self.cordons[process].merge(self.cordons[1 - process].records))
 
     def check(self) -> None:
-        for core in self.cores:
-            states = {id_: e.state for id_, e in core.items() if e.state is not EndpointState.REMOVED}
+        for endpoints in self.published:
+            states = {id_: e.state for id_, e in endpoints.items() if e.state is not EndpointState.REMOVED}
             draining = {id_ for id_, state in states.items() if state is EndpointState.DRAINING}
             assert draining == self.cordoned & set(states)
 
 
 @given(STEPS)
-def test_the_latest_call_counts_in_any_order_of_calls_lists_and_merges(
+def test_the_latest_call_applies_in_any_order_of_calls_lists_and_merges(
     steps: list[tuple[str, str, int]],
 ) -> None:
     processes = Processes()
     for process in (0, 1):
         processes.list_all(process)
-    for at, (step, endpoint_id, process) in enumerate(steps):
+    for n, (step, endpoint_id, process) in enumerate(steps):
         match step:
             case "list":
                 processes.list_all(process)
@@ -134,14 +134,14 @@
             case "merge":
                 processes.merge(process)
             case _:
-                processes.call(step, process, endpoint_id, 1000.0 + at)
+                processes.call(step, process, endpoint_id, 1000.0 + n)
         processes.check()
 
 
-def test_a_cordon_follows_the_end_of_an_earlier_one_though_the_clock_was_stepped_back() -> None:
-    """The record of the earlier end, from another process, undid the operator's call."""
+def test_a_cordon_replaces_an_earlier_ended_one_after_the_clock_was_set_back() -> None:
+    """Regression: the record of the ended cordon, merged from another process, undid the operator's call."""
     cordons = Cordons()
-    cordons.apply(full(*LISTED))
+    cordons.apply(snapshot(*LISTED))
     cordons.cordon(3_600_000.0, IDS[0])
     cordons.uncordon(3_601_000.0, IDS[0])
     ended = dict(cordons.records)
