--- a/tests/test_level_socket.py
+++ b/tests/test_level_socket.py
@@ -1,4 +1,4 @@
-"""The socket of `violetstack level`: its JSON, and the command."""
+"""The socket of `violetstack level`: its requests and replies, and the command."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import trio
 from click.testing import CliRunner, Result
 
-from tests.levels import load_shedder, records
+from tests.levels import journal_bytes, load_shedder
 from violetstack.commands.main import main
 from violetstack.load_shedding.journal import (
     JournalRecord,
@@ -27,7 +27,7 @@
 
 
 class FakeOperations:
-    """One level and a journal of two records; remembers the pin."""
+    """A load shedder at level strained, and a journal of two records."""
 
     def __init__(self) -> None:
         self.shedder, _ = load_shedder()
@@ -39,7 +39,9 @@
 
     def recent_changes(self, limit: int) -> list[JournalRecord] | None:
         return (
-            list(decode_journal(records("strained", "crisis")).records)[:limit] if self.has_journal else None
+            list(decode_journal(journal_bytes("strained", "crisis")).records)[:limit]
+            if self.has_journal
+            else None
         )
 
     def pin(self, level: str, duration_ms: float, by: str) -> None:
@@ -56,7 +58,7 @@
     return reply
 
 
-def test_the_json_of_a_status_keeps_its_names() -> None:
+def test_the_reply_to_show_has_the_documented_names() -> None:
     operations = FakeOperations()
     operations.shedder.tick(9_000.0, 1_009.0, {"lag": 5.0}, EndpointCounts(4, 1), [])
     assert reply_to(operations, do="show") == {
@@ -96,14 +98,14 @@
     }
 
 
-def test_a_pin_and_its_end_are_carried_out_over_the_socket() -> None:
+def test_a_level_is_pinned_and_unpinned_over_the_socket() -> None:
     operations = FakeOperations()
     pinned = reply_to(operations, do="pin", level="crisis", for_ms=60_000, by="ana")
     assert (pinned["level"], pinned["pin"]) == ("crisis", {"by": "ana", "for_s": 60})
     assert reply_to(operations, do="unpin")["pin"] is None
 
 
-def test_the_json_of_the_history_keeps_its_names() -> None:
+def test_the_reply_to_history_has_the_documented_names() -> None:
     operations = FakeOperations()
     newest = reply_to(operations, do="history")["changes"][0]
     assert newest == {
@@ -131,13 +133,11 @@
         ({"do": "pin", "level": "none", "for_ms": 1}, "there is no level 'none'"),
     ],
 )
-def test_a_request_that_cannot_be_carried_out_gets_an_error(
-    request_fields: dict[str, object], error: str
-) -> None:
+def test_an_invalid_request_gets_an_error(request_fields: dict[str, object], error: str) -> None:
     assert reply_to(FakeOperations(), **request_fields) == {"error": error}
 
 
-def test_the_level_command_talks_to_the_socket(tmp_path: Path) -> None:
+def test_the_level_command_uses_the_socket(tmp_path: Path) -> None:
     path = str(tmp_path / "level")
     operations = FakeOperations()
     outputs: list[Result] = []
@@ -158,10 +158,10 @@
             nursery.cancel_scope.cancel()
 
     trio.run(story)
-    shown, pinned, history, unpinned, unknown = outputs
-    assert shown.output.startswith("strained for 20 s, of normal, strained, crisis; 0 shed\n")
-    assert "for another 120 s" in pinned.output
+    show, pin, history, unpin, unknown = outputs
+    assert show.output.startswith("strained for 20 s, of normal, strained, crisis; 0 shed\n")
+    assert "for another 120 s" in pin.output
     assert " -> strained: lateness >= 150%" in history.output
-    assert "pinned by" not in unpinned.output
+    assert "pinned by" not in unpin.output
     assert (unknown.exit_code, unknown.output) == (2, "there is no level 'nothing'\n")
     assert not Path(path).exists()
