--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,11 +1,11 @@
 """The test command: `python -m tests` runs ruff (lint and format), mypy and pytest.
 
-The checkers run beside the tests in virtual time, which no load can fail. Tests that are timed or start
-processes then have the machine to themselves: in two runs side by side, each on half of the cores, or one
-after the other where there are few. Outputs are printed in order, and the last line counts the tests of all
-runs.
+The checkers run at the same time as the tests in virtual time, whose outcome does not depend on the load of
+the machine. Tests that measure real time or start processes run afterwards, without other load: in two
+parallel runs, each on half of the cores, or one after the other on a machine with few cores. Outputs are
+printed in order, and the last line counts the tests of all runs.
 
-Tests that KNOWN-RED.txt names are run last and by themselves: they are printed, and may fail.
+The tests listed in KNOWN-RED.txt run last, each by itself; their outcomes are printed, and they may fail.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from tests.known_red import KnownRedListError, Red, known_red
+from tests.known_red import KnownFailure, KnownFailureListError, parse_known_failures
 
 ROOT = Path(__file__).parent.parent
-RED = ROOT / "KNOWN-RED.txt"
-# pytest's own codes; any other says that the test did not run
+KNOWN_FAILURES_FILE = ROOT / "KNOWN-RED.txt"
+# pytest's exit statuses; any other means that the test did not run
 PASSED = 0
 FAILED = 1
 
@@ -58,32 +58,32 @@
     "tests/test_startup_signals.py",
     "tests/test_startup_time.py",
 )
-"""Tests that play with processes; together they take about as long as all other timed tests."""
+"""Tests that start processes; together they take about as long as all other tests in real time."""
 MIN_CORES_TO_HALVE = 8
-CLOSING_COUNT = re.compile(r"(\d+) (passed|failed|error)")
+OUTCOME_COUNT = re.compile(r"(\d+) (passed|failed|error)")
 
 
 class Half(Enum):
-    """Which half of the cores a step runs on."""
+    """The half of the cores that a step runs on."""
 
     FIRST = 0
     SECOND = 1
 
-    def of(self, cores: list[int]) -> list[int]:
-        """Its part of these cores."""
+    def select(self, cores: list[int]) -> list[int]:
+        """Return this half of `cores`."""
         middle = len(cores) // 2
         return cores[:middle] if self is Half.FIRST else cores[middle:]
 
 
 class Step(NamedTuple):
-    """A Python module with its arguments, and the half of the cores that it has; None: all."""
+    """A Python module to run, its arguments, and the half of the cores that it runs on (None: all cores)."""
 
     module: str
     arguments: tuple[str, ...] = ()
     half: Half | None = None
 
     @property
-    def words(self) -> tuple[str, ...]:
+    def command(self) -> tuple[str, ...]:
         return (self.module, *self.arguments)
 
 
@@ -113,8 +113,8 @@
 def run(steps: list[Step]) -> list[Finished]:
     """Run steps at the same time and print their outputs one after another.
 
-    A step whose output fills its pipe waits until those before it have ended. Steps that want a half of the
-    cores each run one after the other where there are too few to halve.
+    A step whose output fills its pipe waits until the steps before it have ended. Steps with a half of the
+    cores run one after the other if there are fewer than `MIN_CORES_TO_HALVE`.
     """
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < MIN_CORES_TO_HALVE and any(step.half for step in steps):
@@ -125,17 +125,17 @@
 
 
 def _start(step: Step) -> subprocess.Popen[str]:
-    words = [sys.executable, "-m", *step.words]
+    command = [sys.executable, "-m", *step.command]
     process = subprocess.Popen(
-        words, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, errors="replace"
+        command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, errors="replace"
     )
     if step.half is not None:
-        os.sched_setaffinity(process.pid, step.half.of(sorted(os.sched_getaffinity(0))))
+        os.sched_setaffinity(process.pid, step.half.select(sorted(os.sched_getaffinity(0))))
     return process
 
 
 def _finish(step: Step, process: subprocess.Popen[str]) -> Finished:
-    print("$", *step.words, flush=True)
+    print("$", *step.command, flush=True)
     last_line = ""
     for line in process.stdout or ():
         print(line, end="", flush=True)
@@ -143,57 +143,63 @@
     return Finished(process.wait(), last_line)
 
 
-def main(run: Runner = run, red: Path = RED) -> int:
-    """Run every step; return 0 if all but the known red tests pass."""
+def main(run: Runner = run, known_failures_file: Path = KNOWN_FAILURES_FILE) -> int:
+    """Run every step; return 0 if all tests pass except the known failures."""
     try:
-        reds = known_red(red.read_text() if red.exists() else "")
-    except KnownRedListError as error:
+        known_failures = parse_known_failures(
+            known_failures_file.read_text() if known_failures_file.exists() else ""
+        )
+    except KnownFailureListError as error:
         print(f"KNOWN-RED.txt: {error}")
         return 1
     failed = []
     closing_lines = []
     for stage in STAGES:
-        steps = [_without(reds, step) for step in stage]
+        steps = [_deselect(known_failures, step) for step in stage]
         for step, finished in zip(steps, run(steps), strict=True):
             if step.module == "pytest":
                 closing_lines.append(finished.last_line)
             if finished.code != PASSED:
                 failed.append(step)
-    code = judge(reds, run)
+    code = run_known_failures(known_failures, run)
     for step in failed:
-        print("failed:", *step.words)
+        print("failed:", *step.command)
     print(count_tests(closing_lines))
     return 1 if failed else code
 
 
-def _without(reds: list[Red], step: Step) -> Step:
-    """Let pytest pass over the known red tests."""
+def _deselect(known_failures: list[KnownFailure], step: Step) -> Step:
+    """Exclude the known failures from a step that runs pytest."""
     if step.module != "pytest":
         return step
-    return step._replace(arguments=(*step.arguments, *_deselections(reds)))
+    return step._replace(arguments=(*step.arguments, *_deselect_options(known_failures)))
 
 
-def _deselections(reds: list[Red]) -> Iterator[str]:
-    for red in reds:
+def _deselect_options(known_failures: list[KnownFailure]) -> Iterator[str]:
+    for known_failure in known_failures:
         yield "--deselect"
-        yield red.test
+        yield known_failure.test
 
 
 def count_tests(closing_lines: list[str]) -> str:
-    """Sum up pytest's closing lines; an error in a fixture or a module counts as a failed test."""
+    """Add up the counts in pytest's closing lines; an error in a fixture or module counts as a failure."""
     counts = {"passed": 0, "failed": 0, "error": 0}
     for line in closing_lines:
-        for number, outcome in CLOSING_COUNT.findall(line):
+        for number, outcome in OUTCOME_COUNT.findall(line):
             counts[outcome] += int(number)
     return f"{counts['passed']} passed, {counts['failed'] + counts['error']} failed"
 
 
-def judge(reds: list[Red], run: Runner) -> int:
-    """Run each known red test and print its outcome; return 1 if one did not run."""
-    codes = [run([Step("pytest", (red.test,))])[0].code for red in reds]
-    for red, code in zip(reds, codes, strict=True):
-        outcome = {PASSED: "passes now, take it out", FAILED: "fails as known"}.get(code, "DID NOT RUN")
-        print(f"known red: {red.test}: {outcome} ({red.cause}; {red.issue})")
+def run_known_failures(known_failures: list[KnownFailure], run: Runner) -> int:
+    """Run each known failure by itself and print its outcome; return 1 if one did not run."""
+    codes = [run([Step("pytest", (known_failure.test,))])[0].code for known_failure in known_failures]
+    for known_failure, code in zip(known_failures, codes, strict=True):
+        outcome = {PASSED: "passes now, remove it from the list", FAILED: "fails as known"}.get(
+            code, "DID NOT RUN"
+        )
+        print(
+            f"known failure: {known_failure.test}: {outcome} ({known_failure.cause}; {known_failure.issue})"
+        )
     return 0 if all(code in (PASSED, FAILED) for code in codes) else 1
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,34 +1,38 @@
-"""KNOWN-RED.txt: the few tests that fail for a fault which is known and not mended yet, a line each."""
+"""Parser of KNOWN-RED.txt, which lists the few tests that fail because of a known, unfixed fault."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MOST = 3
+MAX_KNOWN_FAILURES = 3
 
 
-class KnownRedListError(Exception):
-    """The list is too long, or a line does not say test, cause and issue."""
+class KnownFailureListError(Exception):
+    """The list is too long, or a line does not consist of test, cause and issue."""
 
 
-class Red(NamedTuple):
+class KnownFailure(NamedTuple):
     test: str  # pytest's id, with its file
     cause: str
     issue: str
 
 
-def known_red(text: str) -> list[Red]:
-    """Lines of `tests/FILE.py::TEST, cause, issue`; raises KnownRedListError."""
-    found = []
+def parse_known_failures(text: str) -> list[KnownFailure]:
+    """Parse lines of the form `tests/FILE.py::TEST, cause, issue`.
+
+    Raises:
+        KnownFailureListError: A line has another form, or there are more than `MAX_KNOWN_FAILURES`.
+    """
+    failures = []
     for line in text.splitlines():
         if not line.strip():
             continue
         test, _, rest = line.partition(",")
         cause, _, issue = rest.rpartition(",")
-        red = Red(test.strip(), cause.strip(), issue.strip())
-        if not all(red) or not red.test.startswith("tests/") or "::" not in red.test:
-            raise KnownRedListError(f"not 'tests/FILE.py::TEST, cause, issue': {line[:80]!r}")
-        found.append(red)
-    if len(found) > MOST:
-        raise KnownRedListError(f"{len(found)} tests, {MOST} are the most")
-    return found
+        failure = KnownFailure(test.strip(), cause.strip(), issue.strip())
+        if not all(failure) or not failure.test.startswith("tests/") or "::" not in failure.test:
+            raise KnownFailureListError(f"expected 'tests/FILE.py::TEST, cause, issue', got {line[:80]!r}")
+        failures.append(failure)
+    if len(failures) > MAX_KNOWN_FAILURES:
+        raise KnownFailureListError(f"{len(failures)} tests listed, at most {MAX_KNOWN_FAILURES} are allowed")
+    return failures
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What the test command passes over, and what it does not."""
+"""The test command: the steps that it runs, and the known failures that it tolerates."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from tests.__main__ import MIN_CORES_TO_HALVE, ROOT, STAGES, VIRTUAL_TIME, Finished, Half, Step, main
 from tests.__main__ import run as run_steps
-from tests.known_red import KnownRedListError, known_red
+from tests.known_red import KnownFailureListError, parse_known_failures
 
 STEPS = [step for stage in STAGES for step in stage]
 REAL_TIME_MODULES = {
@@ -45,44 +45,46 @@
 LINE = "tests/test_x.py::test_{}, sends late, and twice, issue 30\n"
 
 
-def test_a_line_says_test_cause_and_issue() -> None:
-    told = known_red("\n" + LINE.format("a"))
-    assert told == [("tests/test_x.py::test_a", "sends late, and twice", "issue 30")]
+def test_a_line_has_test_cause_and_issue() -> None:
+    known_failures = parse_known_failures("\n" + LINE.format("a"))
+    assert known_failures == [("tests/test_x.py::test_a", "sends late, and twice", "issue 30")]
 
 
 @pytest.mark.parametrize("text", ["tests/test_x.py::test_a", "test_a, cause, issue", "tests/, b, c", "a,b,"])
-def test_a_line_that_says_less_is_no_excuse(text: str) -> None:
-    with pytest.raises(KnownRedListError):
-        known_red(text)
+def test_a_malformed_line_is_an_error(text: str) -> None:
+    with pytest.raises(KnownFailureListError):
+        parse_known_failures(text)
 
 
 @pytest.mark.parametrize(
-    ("names", "red", "others", "code"),
+    ("names", "listed_status", "other_status", "exit_status"),
     [
         ("", 0, 0, 0),
-        ("a", 1, 0, 0),  # it fails, as known
-        ("a", 0, 0, 0),  # it passes by now
-        ("a", 4, 0, 1),  # there is no such test
-        ("a", 1, 1, 1),  # another fails
+        ("a", 1, 0, 0),  # the listed test fails
+        ("a", 0, 0, 0),  # the listed test passes
+        ("a", 4, 0, 1),  # pytest does not find the listed test
+        ("a", 1, 1, 1),  # another test fails
         ("abc", 1, 0, 0),
-        ("abcd", 1, 0, 1),  # one too many
+        ("abcd", 1, 0, 1),  # one more than the list may have
     ],
 )
-def test_only_what_is_listed_may_fail(tmp_path: Path, names: str, red: int, others: int, code: int) -> None:
+def test_only_listed_tests_may_fail(
+    tmp_path: Path, names: str, listed_status: int, other_status: int, exit_status: int
+) -> None:
     (tmp_path / "list").write_text("".join(LINE.format(name) for name in names))
     ran: list[Step] = []
 
     def run(steps: list[Step]) -> list[Finished]:
         ran.extend(steps)
-        return [Finished(code_of(step)) for step in steps]
+        return [Finished(status_of(step)) for step in steps]
 
-    def code_of(step: Step) -> int:
+    def status_of(step: Step) -> int:
         if step.module != "pytest":
             return 0
-        return red if len(step.arguments) == 1 else others
+        return listed_status if len(step.arguments) == 1 else other_status
 
-    assert main(run, tmp_path / "list") == code
-    if code == 0:
+    assert main(run, tmp_path / "list") == exit_status
+    if exit_status == 0:
         assert [step.arguments for step in ran[len(STEPS) :]] == [
             (f"tests/test_x.py::test_{name}",) for name in names
         ]
@@ -91,14 +93,14 @@
             assert step.arguments.count("--deselect") == expected
 
 
-def test_formatter_linter_types_and_tests_are_all_run() -> None:
-    assert [step.words[:2] for step in STEPS[:2]] == [("ruff", "check"), ("ruff", "format")]
+def test_the_linter_the_formatter_the_type_checker_and_pytest_run() -> None:
+    assert [step.command[:2] for step in STEPS[:2]] == [("ruff", "check"), ("ruff", "format")]
     assert "--check" in STEPS[1].arguments
     assert STEPS[2] == Step("mypy")
     assert [step.module for step in STEPS[3:]] == ["pytest"] * 3
 
 
-def test_each_test_file_is_in_one_run_of_pytest() -> None:
+def test_each_test_file_belongs_to_exactly_one_pytest_run() -> None:
     virtual_time, processes, others = (step.arguments for step in STEPS if step.module == "pytest")
     selected = virtual_time + processes
     assert len(selected) == len(set(selected))
@@ -106,16 +108,16 @@
     assert others == ("tests", *(f"--ignore={file}" for file in selected))
 
 
-def test_steps_that_run_side_by_side_share_no_core() -> None:
+def test_parallel_steps_share_no_core() -> None:
     cores = list(range(MIN_CORES_TO_HALVE + 1))
-    assert sorted(Half.FIRST.of(cores) + Half.SECOND.of(cores)) == cores
+    assert sorted(Half.FIRST.select(cores) + Half.SECOND.select(cores)) == cores
     assert [step.half for step in STAGES[-1]] == [Half.FIRST, Half.SECOND]
 
 
-def test_with_few_cores_the_halves_run_one_after_the_other_on_all(
+def test_with_few_cores_steps_run_one_after_the_other_on_all_cores(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The second finds what the first has left behind at its end."""
+    """The second step reads the file that the first one writes just before it ends."""
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
     monkeypatch.setattr(os, "sched_getaffinity", lambda _: {0, 1})
     (tmp_path / "first.py").write_text(ENDING_MODULE)
@@ -127,7 +129,7 @@
 
 
 @pytest.mark.parametrize("file", VIRTUAL_TIME)
-def test_what_runs_beside_other_steps_neither_waits_nor_starts_processes(file: str) -> None:
+def test_files_in_virtual_time_use_no_real_time_and_start_no_processes(file: str) -> None:
     tree = ast.parse((ROOT / file).read_text())
     imported = {name.name for node in ast.walk(tree) if isinstance(node, ast.Import) for name in node.names}
     imported |= {node.module or "" for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
@@ -138,7 +140,7 @@
 
 
 @pytest.mark.parametrize("failing", range(len(STEPS)))
-def test_any_failing_step_fails_the_run_and_the_others_are_run_all_the_same(
+def test_a_failing_step_fails_the_run_and_the_other_steps_still_run(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], failing: int
 ) -> None:
     ran: list[Step] = []
@@ -157,10 +159,10 @@
     assert lines[-1] == "6 passed, 6 failed"
 
 
-def test_steps_run_at_the_same_time_and_their_outputs_are_printed_in_order(
+def test_steps_run_in_parallel_and_their_outputs_are_printed_in_order(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The first ends in order only once the second has begun; the second prints more than a pipe holds."""
+    """The first step succeeds only after the second has started, which prints more than a pipe holds."""
     monkeypatch.setenv("PYTHONPATH", str(tmp_path))
     (tmp_path / "waiting.py").write_text(WAITING_MODULE)
     (tmp_path / "printing.py").write_text(PRINTING_MODULE)
