--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,10 +1,14 @@
-"""The same verdict every time: no property test fails for a slow machine, or for another draw."""
+"""Settings of all tests: property tests draw the same examples in every run and have no time limit.
+
+So the outcome of a property test depends neither on a random seed nor on the speed of the machine.
+"""
 
 from hypothesis import settings
 
 from violetstack.net.downstream.connection_lifecycle import ConnectionLifecycle
 
-settings.register_profile("one verdict", deadline=None, derandomize=True)
-settings.load_profile("one verdict")
+settings.register_profile("deterministic", deadline=None, derandomize=True)
+settings.load_profile("deterministic")
 
-ConnectionLifecycle.strict = True  # in service an event that a connection's state does not know is logged
+# An event that is invalid in a connection's state raises an error in tests; the service only logs it.
+ConnectionLifecycle.strict = True
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -1,4 +1,4 @@
-"""`violetstack fleet` against admin APIs that give prepared responses."""
+"""`violetstack fleet` against admin APIs with prepared responses."""
 
 from __future__ import annotations
 
@@ -72,9 +72,9 @@
         server.shutdown()
 
 
-def run_fleet(*words: str) -> tuple[int, str]:
-    """Run a command; return its exit status and what it printed."""
-    result = CliRunner().invoke(main, ["fleet", *words])
+def run_fleet(*arguments: str) -> tuple[int, str]:
+    """Run a `fleet` command; return its exit status and output."""
+    result = CliRunner().invoke(main, ["fleet", *arguments])
     return result.exit_code, result.output
 
 
@@ -89,7 +89,7 @@
         )
 
 
-def test_who_reports_unreachable_dispatchers_and_leases_that_two_claim() -> None:
+def test_who_reports_unreachable_dispatchers_and_leases_claimed_by_two() -> None:
     with admin_api() as first, admin_api({**LEASES, "me": 4}) as second:
         status, output = run_fleet("who", UNREACHABLE, first)
         assert status == 1
@@ -100,19 +100,19 @@
         assert "leave:0 is claimed by 3 as well" in output
 
 
-def test_who_reports_a_response_that_it_cannot_read() -> None:
+def test_who_reports_a_response_that_it_cannot_decode() -> None:
     with admin_api({"me": "nobody"}) as address:
         status, output = run_fleet("who", address)
         assert status == 1
         assert output.startswith(f"{address}: ")
 
 
-def test_resign_shows_why_it_was_rejected() -> None:
+def test_resign_shows_the_reason_of_a_rejection() -> None:
     with admin_api() as address:
         assert run_fleet("resign", address, "try:r3") == (1, f"Error: {address}: not now: try:r3\n")
 
 
-def test_roll_stops_where_there_is_no_permit() -> None:
+def test_roll_stops_at_a_dispatcher_that_gets_no_restart_permit() -> None:
     with admin_api() as address:
         assert run_fleet("roll", "--dry-run", address) == (0, f"1. {address}: serves\n")
         status, output = run_fleet("roll", "--within", "0", address, UNREACHABLE)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The layers of docs/architecture.md, read from the imports: nothing imports upward or in a circle."""
+"""The layers of docs/architecture.md: no module imports from a higher layer, and no imports are circular."""
 
 from __future__ import annotations
 
@@ -42,36 +42,41 @@
     "daemon": frozenset({"daemon"}),
     "programs": frozenset({"__main__", "commands", "rehearsal", "simulation", "simulator_adapter"}),
 }
-RANKS = {part: rank for rank, parts in enumerate(LAYERS.values()) for part in parts}
+RANKS = {package: rank for rank, packages in enumerate(LAYERS.values()) for package in packages}
 
-# Below these layers nothing waits for a socket or a thread, so nothing there imports trio.
+# Modules of these layers wait for no socket and no thread, so they do not import trio.
 SYNCHRONOUS_LAYERS = ("vocabulary", "tracking", "policy", "domain")
-# The service that runs the store's calls on a thread; it is to move to `net`.
+# This service runs the idempotency store's calls on a thread; it should move to `net`.
 TRIO_EXCEPTIONS = frozenset({"violetstack.idempotency.service"})
 
 
 class Import(NamedTuple):
-    """One import statement's target. `for_types`: only type checkers follow it."""
+    """The target of an import statement.
+
+    Attributes:
+        target: The module's dotted name.
+        for_types: Whether the import is below `if TYPE_CHECKING`, so that it does not happen at run time.
+    """
 
     target: str
     for_types: bool
 
 
 def modules() -> dict[str, Path]:
-    """Each module's dotted name and its file."""
-    found = {}
+    """Return the dotted name and the file of each module."""
+    modules_by_name = {}
     for path in sorted((ROOT / PACKAGE).rglob("*.py")):
         parts = path.relative_to(ROOT).with_suffix("").parts
         name = ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
-        found[name] = path
-    return found
+        modules_by_name[name] = path
+    return modules_by_name
 
 
 MODULES = modules()
 
 
 def imports(node: ast.AST, *, for_types: bool = False) -> Iterator[Import]:
-    """All imports below a node, those within functions included."""
+    """Yield all imports below a node, including those within functions."""
     for child in ast.iter_child_nodes(node):
         if isinstance(child, ast.If) and ast.unparse(child.test) == "TYPE_CHECKING":
             for statement in child.body:
@@ -91,22 +96,22 @@
 IMPORTS = {name: tuple(imports(ast.parse(path.read_text()))) for name, path in MODULES.items()}
 
 
-def part_of(module: str) -> str:
-    """The package or module right below the top: `net` for `violetstack.net.upstream.driver`."""
+def package_of(module: str) -> str:
+    """Return the top-level package or module: `net` for `violetstack.net.upstream.driver`."""
     return module.split(".")[1]
 
 
 @pytest.mark.parametrize("module", [name for name in MODULES if name != PACKAGE])
-def test_a_module_imports_from_its_own_layer_and_from_lower_ones(module: str) -> None:
-    """This holds for imports that only type checkers follow, too."""
-    rank = RANKS[part_of(module)]
-    targets = [each.target for each in IMPORTS[module] if each.target.startswith(f"{PACKAGE}.")]
-    assert [target for target in targets if RANKS[part_of(target)] > rank] == []
+def test_a_module_imports_only_from_its_own_layer_and_lower_ones(module: str) -> None:
+    """Imports below `if TYPE_CHECKING` are checked as well."""
+    rank = RANKS[package_of(module)]
+    targets = [imported.target for imported in IMPORTS[module] if imported.target.startswith(f"{PACKAGE}.")]
+    assert [target for target in targets if RANKS[package_of(target)] > rank] == []
 
 
-def test_each_package_belongs_to_one_layer() -> None:
-    parts = {part_of(name) for name in MODULES if name != PACKAGE}
-    assert parts <= RANKS.keys()
+def test_each_package_belongs_to_exactly_one_layer() -> None:
+    packages = {package_of(name) for name in MODULES if name != PACKAGE}
+    assert packages <= RANKS.keys()
     assert sum(map(len, LAYERS.values())) == len(RANKS)
 
 
@@ -116,25 +121,30 @@
         name
         for name, targets in IMPORTS.items()
         if name != PACKAGE
-        and part_of(name) in synchronous
-        and any(each.target.partition(".")[0] == "trio" for each in targets)
+        and package_of(name) in synchronous
+        and any(imported.target.partition(".")[0] == "trio" for imported in targets)
     }
     assert importing == TRIO_EXCEPTIONS
 
 
-def test_the_core_and_the_policy_know_nothing_of_the_protocols_bytes() -> None:
-    """They decide on records; what comes over the wire is decoded before it gets there."""
+def test_the_core_and_the_policy_do_not_import_the_protocol() -> None:
+    """They work on records: messages from the network are decoded before they reach them."""
     for name, targets in IMPORTS.items():
-        if name != PACKAGE and part_of(name) in {"core", *LAYERS["tracking"], *LAYERS["policy"]}:
-            assert [each.target for each in targets if each.target.startswith("violetstack.protocol")] == []
+        if name != PACKAGE and package_of(name) in {"core", *LAYERS["tracking"], *LAYERS["policy"]}:
+            assert [
+                imported.target for imported in targets if imported.target.startswith("violetstack.protocol")
+            ] == []
 
 
-def test_no_modules_import_each_other_in_a_circle_at_run_time() -> None:
+def test_run_time_imports_are_not_circular() -> None:
     graph = {
-        name: {each.target for each in targets if not each.for_types and each.target in MODULES} - {name}
+        name: {
+            imported.target for imported in targets if not imported.for_types and imported.target in MODULES
+        }
+        - {name}
         for name, targets in IMPORTS.items()
     }
     try:
         TopologicalSorter(graph).prepare()
     except CycleError as error:
-        pytest.fail(f"imported in a circle: {' -> '.join(error.args[1])}")
+        pytest.fail(f"circular import: {' -> '.join(error.args[1])}")
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The script that makes the project's own deployments; a small site stands in for the given one."""
+"""The script that generates the project's own site variants, run with a small site as the given one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 SITES = Path(__file__).parent.parent / "deploy" / "sites"
-GIVEN = """
+GIVEN_SITE = """
 name = "given"
 [scale]
 servers = [1, 2]
@@ -43,16 +43,18 @@
     return module
 
 
-def test_each_variant_is_written_with_the_three_other_files(script: ModuleType, tmp_path: Path) -> None:
+def test_each_variant_is_written_together_with_the_three_other_files(
+    script: ModuleType, tmp_path: Path
+) -> None:
     given = tmp_path / "given"
     into = tmp_path / "made"
     given.mkdir()
-    (given / "site.toml").write_text(GIVEN)
+    (given / "site.toml").write_text(GIVEN_SITE)
     for name in script.COPIED_FILES:
         (given / name).write_text(name)
-    made = script.make(given / "site.toml", into)
-    assert [path.stem for path in made] == ["helpdesk", "parcels"]
-    for path in made:
+    written = script.make(given / "site.toml", into)
+    assert [path.stem for path in written] == ["helpdesk", "parcels"]
+    for path in written:
         site = tomllib.loads(path.read_text())
         values = tomllib.loads((SITES / f"{path.stem}.values.toml").read_text())
         assert site["name"] == path.stem
@@ -62,12 +64,12 @@
         assert sorted(each.name for each in path.parent.iterdir()) == sorted(
             [path.name, *script.COPIED_FILES]
         )
-    parcels = tomllib.loads(made[1].read_text())
+    parcels = tomllib.loads(written[1].read_text())
     assert [each["effect"] for each in parcels["class"]] == ["unsafe", "safe", "safe"]
 
 
-def test_missing_files_are_named_in_the_error(script: ModuleType, tmp_path: Path) -> None:
-    (tmp_path / "site.toml").write_text(GIVEN)
+def test_an_error_names_the_missing_files(script: ModuleType, tmp_path: Path) -> None:
+    (tmp_path / "site.toml").write_text(GIVEN_SITE)
     (tmp_path / "real.json").write_text("{}")
     with pytest.raises(SystemExit, match=r"wire\.json.*unlock\.txt"):
         script.make(tmp_path / "site.toml", tmp_path / "made")
