--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -38,25 +38,25 @@
 def told(plan: Plan, results: list[Result]) -> str:
     if not results:
         return "no valid plays"
-    full = sorted(r.to_full_s if r.to_full_s is not None else float("inf") for r in results)
+    full = sorted(r.recovery_s if r.recovery_s is not None else float("inf") for r in results)
     row: dict[str, list[float]] = {name: [] for name in ("before", "after", "inside0", "inside", "refused")}
     for result in results:
-        warm = [x for x in result.lines if plan.warm / 2 <= x["at"] < plan.fault_at]
-        late = [x for x in result.lines if plan.over_at <= x["at"] < plan.over_at + AFTER_S]
+        warm = [x for x in result.lines if plan.warm_up_s / 2 <= x["at"] < plan.first_fault_at]
+        late = [x for x in result.lines if plan.faults_end_at <= x["at"] < plan.faults_end_at + AFTER_S]
         row["before"].append(median(x["first_ms"] or 0.0 for x in warm))
         row["after"].append(median(x["first_ms"] or 0.0 for x in late))
         row["inside0"].append(max(x["most_inside"] for x in warm))
         row["inside"].append(max(x["most_inside"] for x in late))
         row["refused"].append(sum(x["refused"] for x in late))
     mean = {name: median(values) for name, values in row.items()}
-    cut = [r.answers.get("cut", 0) for r in results]
+    cut = [r.outcomes.get("cut", 0) for r in results]
     return (
         f"{len(results)} plays: full service after {full[0]:.1f}, {median(full):.1f}, {full[-1]:.1f} s; "
         f"first token {mean['before']:.0f} -> {mean['after']:.0f} ms; "
         f"inside {mean['inside0']:.0f} -> {mean['inside']:.0f}; "
         f"rejected {mean['refused']:.0f}; cut {min(cut)} to {max(cut)}; "
-        f"sent too late in a drain {sum(r.stale for r in results)}; "
-        f"rules violated {sum(len(r.breaches) for r in results)}; "
+        f"sent too late in a drain {sum(r.stale_sends for r in results)}; "
+        f"rules violated {sum(len(r.violations) for r in results)}; "
         f"ready {median([s for r in results for s in r.ready_s] or [0.0]):.2f} s"
     )
 
--- a/tests/test_lease_service.py
+++ b/tests/test_lease_service.py
@@ -14,47 +14,47 @@
 from violetstack.config import Config, ConfigError, NodeConfig
 from violetstack.operator_config import OperatorConfig
 from violetstack.rehearsal.fleet.fleet_processes import ADMIN_PORT
-from violetstack.rehearsal.fleet.plan import Plan, Trouble
+from violetstack.rehearsal.fleet.plan import Plan, PlannedFault
 from violetstack.rehearsal.fleet.report import Result
 from violetstack.rehearsal.fleet.runner import FleetRun
 from violetstack.rehearsal.stage import SETTINGS
 
 HOLDER_FAULTS = [
-    Trouble(3.0, "stop", "holder", 2.2),
-    Trouble(7.0, "kill", "holder"),
-    Trouble(10.5, "network", "holder", 2.0, "deaf"),
+    PlannedFault(3.0, "stop", "holder", 2.2),
+    PlannedFault(7.0, "kill", "holder"),
+    PlannedFault(10.5, "network", "holder", 2.0, "deaf"),
 ]
 HOLDER_FAULTS_PLAN = Plan(
     seed=7,
     dispatchers=5,
-    readers=4,
+    prefill_hosts=4,
     rate=30,
-    warm=1,
-    seconds=13.5,
-    notice=4,
-    file='duties { lease = 600ms trials = true keys = ["of the tier"] }',
-    trouble=[Trouble(0.1, "fail", "r0"), *HOLDER_FAULTS],
+    warm_up_s=1,
+    duration_s=13.5,
+    ejection_delay_s=4,
+    operator_file='duties { lease = 600ms trials = true keys = ["of the tier"] }',
+    faults=[PlannedFault(0.1, "fail", "r0"), *HOLDER_FAULTS],
 )
 SHUTDOWN_PLAN = Plan(
     seed=8,
     dispatchers=4,
     rate=20,
-    warm=1,
-    seconds=12,
+    warm_up_s=1,
+    duration_s=12,
     admin_api=True,
-    file="duties { lease = 500ms leave = 1 leave_wait = 20s }",
-    trouble=[Trouble(2.0, "term", "0-2", 25.0), Trouble(2.0, "network", "all", 6.0, "loss")],
+    operator_file="duties { lease = 500ms leave = 1 leave_wait = 20s }",
+    faults=[PlannedFault(2.0, "term", "0-2", 25.0), PlannedFault(2.0, "network", "all", 6.0, "loss")],
 )
 ROLLING_RESTART_PLAN = Plan(
     seed=9,
     dispatchers=3,
     rate=10,
-    warm=1,
-    seconds=14,
+    warm_up_s=1,
+    duration_s=14,
     admin_api=True,
     supervised=True,
-    file="duties { lease = 500ms leave = 1 }",
-    trouble=[Trouble(0.2, "network", "2", 60.0, "cut")],
+    operator_file="duties { lease = 500ms leave = 1 }",
+    faults=[PlannedFault(0.2, "network", "2", 60.0, "cut")],
 )
 
 
@@ -119,9 +119,9 @@
 ) -> None:
     """The relay audits each broadcast; a breach is two holders, or a fencing token that decreases."""
     result = fleets.holder_faults
-    assert (result.breaches, result.crashed) == ([], [])
-    assert result.answers["served"] > 300
-    assert "failed" not in result.answers
+    assert (result.violations, result.crashed) == ([], [])
+    assert result.outcomes["served"] > 300
+    assert "failed" not in result.outcomes
     tokens = [holder.fencing_token for holder in result.holders]
     assert tokens == sorted(set(tokens))
     assert len(tokens) >= 4
@@ -136,12 +136,12 @@
 
 def test_dispatchers_get_their_permits_and_shut_down_one_at_a_time(fleets: Fleets) -> None:
     result = fleets.shutdown
-    assert (result.breaches, result.crashed) == ([], [])
+    assert (result.violations, result.crashed) == ([], [])
     assert result.events["restart_permit_acquired"] == 3
     assert "restart_permit_denied" not in result.events
     assert result.events["started"] == 7
-    assert sorted(number for *_, number in result.ends) == [0, 1, 2]
-    for (_, ended, _), (began, _, _) in zip(result.ends, result.ends[1:], strict=False):
+    assert sorted(number for *_, number in result.shutdowns) == [0, 1, 2]
+    for (_, ended, _), (began, _, _) in zip(result.shutdowns, result.shutdowns[1:], strict=False):
         assert began > ended
 
 
--- a/tests/test_rehearsal_fleet.py
+++ b/tests/test_rehearsal_fleet.py
@@ -5,42 +5,42 @@
 
 import pytest
 
-from violetstack.rehearsal.fleet.audit import Asked, Audit, lines, to_full_s
-from violetstack.rehearsal.fleet.plan import BadPlan, Plan, Trouble, read
+from violetstack.rehearsal.fleet.audit import Audit, ClientRequest, recovery_time_s, timeline
+from violetstack.rehearsal.fleet.plan import Plan, PlanError, PlannedFault, read
 from violetstack.rehearsal.fleet.runner import play
 
 
 def audit() -> Audit:
-    found = Audit(drain_s=0.25, release_s=1.0, fall_s=1.5, fall_multiple=2.5)
-    found.asked["q"] = Asked("q", 3, True, True, 1.0, 6.0, "served", 1.2, 2.0)
+    found = Audit(drain_grace_s=0.25, release_s=1.0, overload_window_s=1.5, overload_ratio=2.5)
+    found.requests["q"] = ClientRequest("q", 3, True, True, 1.0, 6.0, "served", 1.2, 2.0)
     return found
 
 
 def test_the_auditor_finds_each_broken_rule_and_nothing_in_a_good_run() -> None:
     good = audit()
-    good.arrived(1.1, "r0", "q", 0.1, None)
-    good.holds(1.2, "r0", "q")
-    good.rests(1.2, "q")
-    good.told[(3, "w0")] = 1.2
-    good.arrived(1.3, "w0", "q", 0.1, 1.0)
-    good.let_go(1.4, "q")
-    good.ran("w0", "q")
-    good.close(9.0)
-    assert good.breaches == []
+    good.request_received(1.1, "r0", "q", 0.1, None)
+    good.state_held(1.2, "r0", "q")
+    good.attempt_ended(1.2, "q")
+    good.drains_written[(3, "w0")] = 1.2
+    good.request_received(1.3, "w0", "q", 0.1, 1.0)
+    good.state_released(1.4, "q")
+    good.answer_begun("w0", "q")
+    good.finish(9.0)
+    assert good.violations == []
 
     bad = audit()
-    bad.told[(3, "w0")] = 1.0
-    bad.arrived(1.4, "w0", "q", 0.1, None)
-    bad.ran("w0", "q")
-    bad.ran("w1", "q")
-    bad.rests(1.5, "q")
-    bad.holds(1.6, "r0", "q")
-    bad.let_go(3.2, "q")
-    stood = [bad.arrived(4.0 + n / 10, "r1", f"p{n}", 1.0, 0.3) for n in range(4)]
+    bad.drains_written[(3, "w0")] = 1.0
+    bad.request_received(1.4, "w0", "q", 0.1, None)
+    bad.answer_begun("w0", "q")
+    bad.answer_begun("w1", "q")
+    bad.attempt_ended(1.5, "q")
+    bad.state_held(1.6, "r0", "q")
+    bad.state_released(3.2, "q")
+    stood = [bad.request_received(4.0 + n / 10, "r1", f"p{n}", 1.0, 0.3) for n in range(4)]
     assert stood == [True, True, True, False]
-    bad.asked["q"].answer = ""
-    bad.close(9.0)
-    assert [breach.partition(":")[0] for breach in bad.breaches] == [
+    bad.requests["q"].outcome = ""
+    bad.finish(9.0)
+    assert [breach.partition(":")[0] for breach in bad.violations] == [
         "drain",
         "order",
         "held",
@@ -58,10 +58,10 @@
             answer = "refused"
         if 3.0 <= n * 0.1 < 3.5:
             took = 0.2
-        rows.append(Asked(f"q{n}", 0, False, True, n * 0.1, 9.0, answer, n * 0.1 + took, 9.0))
-    told = lines(rows, [], [], 8.0)
-    assert to_full_s(told, 0.0, 2.0, 2.0) == 1.5
-    assert to_full_s(told[:6], 0.0, 2.0, 2.0) is None
+        rows.append(ClientRequest(f"q{n}", 0, False, True, n * 0.1, 9.0, answer, n * 0.1 + took, 9.0))
+    told = timeline(rows, [], [], 8.0)
+    assert recovery_time_s(told, 0.0, 2.0, 2.0) == 1.5
+    assert recovery_time_s(told[:6], 0.0, 2.0, 2.0) is None
 
 
 @pytest.mark.parametrize(
@@ -76,30 +76,46 @@
     ],
 )
 def test_a_bad_plan_is_refused_with_its_reason(text: str, why: str) -> None:
-    with pytest.raises(BadPlan, match=why.replace("`", ".")):
+    with pytest.raises(PlanError, match=why.replace("`", ".")):
         read(text)
 
 
 def test_a_stopped_dispatcher_wakes_to_fresh_decisions_while_another_is_killed() -> None:
     """Its streams were cut as silent though their events lay in the sockets, and its sends were stale."""
-    stop = Trouble(1.5, "stop", "0", 4.6)
-    drain = Trouble(2.5, "drain", "r0,w0")
-    kill = Trouble(3.0, "kill", "1", 0.2)
-    plan = Plan(seed=4, dispatchers=3, rate=30, warm=2, seconds=8, notice=3, trouble=[stop, drain, kill])
+    stop = PlannedFault(1.5, "stop", "0", 4.6)
+    drain = PlannedFault(2.5, "drain", "r0,w0")
+    kill = PlannedFault(3.0, "kill", "1", 0.2)
+    plan = Plan(
+        seed=4,
+        dispatchers=3,
+        rate=30,
+        warm_up_s=2,
+        duration_s=8,
+        ejection_delay_s=3,
+        faults=[stop, drain, kill],
+    )
     result = play(plan)
-    assert (result.breaches, result.stale, result.crashed) == ([], 0, [])
+    assert (result.violations, result.stale_sends, result.crashed) == ([], 0, [])
     assert result.events["process_paused"] >= 1 and result.events["started"] == 4
-    assert result.answers["served"] > 150
-    assert not [line for line in result.loud if "'silent'" in line]
+    assert result.outcomes["served"] > 150
+    assert not [line for line in result.fault_lines if "'silent'" in line]
 
 
 def test_most_dispatchers_killed_at_once_under_a_discovery_that_is_silent_or_lies() -> None:
-    hit = [Trouble(1.5, "discovery", "0-1", 3.0, "silent"), Trouble(1.5, "discovery", "2", 3.0, "old")]
+    hit = [
+        PlannedFault(1.5, "discovery", "0-1", 3.0, "silent"),
+        PlannedFault(1.5, "discovery", "2", 3.0, "old"),
+    ]
     plan = Plan(
-        seed=5, dispatchers=4, rate=30, warm=2, seconds=6, trouble=[*hit, Trouble(1.6, "kill", "0-2")]
+        seed=5,
+        dispatchers=4,
+        rate=30,
+        warm_up_s=2,
+        duration_s=6,
+        faults=[*hit, PlannedFault(1.6, "kill", "0-2")],
     )
     result = play(plan)
-    assert (result.breaches, result.crashed) == ([], [])
+    assert (result.violations, result.crashed) == ([], [])
     assert result.events["started"] == 7 and len(result.ready_s) == 3
     late = result.lines[8:]  # from a second after the starts: known hosts serve while discovery is away
     assert sum(row["served"] for row in late) >= 0.95 * sum(row["asked"] for row in late)
--- a/violetstack/commands/main.py
+++ b/violetstack/commands/main.py
@@ -166,10 +166,10 @@
     for name in plans:
         try:
             result = play(plan.read(Path(name).read_text()))
-        except (OSError, plan.BadPlan) as error:
+        except (OSError, plan.PlanError) as error:
             raise click.ClickException(f"{name}: {error}") from None
-        click.echo(msgspec.json.encode(result).decode() if as_json else report.told(result))
-        succeeded = succeeded and not (result.breaches or result.crashed or result.void)
+        click.echo(msgspec.json.encode(result).decode() if as_json else report.format_result(result))
+        succeeded = succeeded and not (result.violations or result.crashed or result.void)
     return 0 if succeeded else 1
 
 
--- a/violetstack/rehearsal/fleet/addresses.py
+++ b/violetstack/rehearsal/fleet/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of rehearsals, so that several run beside each other."""
+"""Loopback addresses of rehearsals, so that several can run at the same time."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 from violetstack.config import Address
 
-RUNS_APART = 4_099
+RUN_STRIDE = 4_099
 
 
 def loopback_address(number: int, port: int, run: int = 0) -> Address:
-    """A dispatcher's address, of one run alone among those of all processes here."""
-    own = os.getpid() + RUNS_APART * run
-    return f"127.{64 + (own >> 8) % 160}.{own % 256}.{1 + number}", port
+    """Return a dispatcher's address, which differs from those of other runs and other processes."""
+    run_id = os.getpid() + RUN_STRIDE * run
+    return f"127.{64 + (run_id >> 8) % 160}.{run_id % 256}.{1 + number}", port
--- a/violetstack/rehearsal/fleet/campaign_environment.py
+++ b/violetstack/rehearsal/fleet/campaign_environment.py
@@ -83,7 +83,7 @@
         with trio.move_on_after(duration_s):
             for _ in range(IDLE_CLIENT_COUNT):
                 with suppress(OSError):
-                    streams.append(await connect(dispatcher.program.at))
+                    streams.append(await connect(dispatcher.program.address))
             await trio.sleep(duration_s)
         for stream in streams:
             stream.socket.close()
--- a/violetstack/rehearsal/fleet/campaign_host.py
+++ b/violetstack/rehearsal/fleet/campaign_host.py
@@ -21,7 +21,7 @@
 from violetstack.rehearsal.fleet.campaign_settings import HostPlan
 from violetstack.rehearsal.fleet.freeze_gate import FreezeGate, peer_has_closed, reset_connection
 from violetstack.rehearsal.fleet.host_holds import UNCERTAIN_AFTER_S, HoldRecorder
-from violetstack.rehearsal.fleet.minimal_http import LAST, Ended, Wire, chunk, message
+from violetstack.rehearsal.fleet.minimal_http import LAST_CHUNK, Ended, Wire, chunk, message
 from violetstack.rehearsal.fleet.socket_audit import Evidence, HostAttempt
 from violetstack.rehearsal.peer import Peer
 
@@ -240,7 +240,7 @@
             self._record_fault(script, fault)
             stalled_at = self._clock()
             await trio.sleep(READ_STALL_S)
-            if unread_bytes(wire.stream.socket) >= length - len(wire.rest):
+            if unread_bytes(wire.stream.socket) >= length - len(wire.buffer):
                 arrived_at = stalled_at
         await wire.body(length)
         frozen_since = await self._gate.wait(wire)
@@ -409,7 +409,7 @@
         attempt.events += trailer
         attempt.stream_ended_at = self._clock()
         attempt.last_event_at = attempt.stream_ended_at
-        await wire.send(chunk(trailer) + LAST)
+        await wire.send(chunk(trailer) + LAST_CHUNK)
         attempt.closed_at = self._clock()
 
     async def _inject_stream_fault(self, wire: Wire, attempt: HostAttempt, fault: HostFault) -> None:
@@ -442,7 +442,7 @@
             if is_prefill:
                 await self._answer(wire, 202, PREFILLED_BODY)
             else:
-                await wire.send(STREAM_HEAD + chunk(_event("second response")) + LAST)
+                await wire.send(STREAM_HEAD + chunk(_event("second response")) + LAST_CHUNK)
 
     async def _answer(self, wire: Wire, status: int, body: bytes = b"", declined: bool = False) -> None:
         headers = {"Content-Type": "application/json"}
--- a/violetstack/rehearsal/fleet/campaign_processes.py
+++ b/violetstack/rehearsal/fleet/campaign_processes.py
@@ -13,7 +13,7 @@
 from violetstack.rehearsal.fleet.campaign_client import READY_REQUEST
 from violetstack.rehearsal.fleet.campaign_state import CaseState, Dispatcher
 from violetstack.rehearsal.fleet.minimal_http import Client, Ended, connect
-from violetstack.rehearsal.fleet.network import HEARD
+from violetstack.rehearsal.fleet.network import GOSSIP_PORT
 from violetstack.rehearsal.fleet.plan import Plan
 from violetstack.rehearsal.fleet.programs import Program
 
@@ -76,9 +76,9 @@
                 return
             try:
                 with trio.fail_after(0.5):
-                    async with await connect(dispatcher.program.at) as stream:
+                    async with await connect(dispatcher.program.address) as stream:
                         client = Client(stream)
-                        await client.ask(READY_REQUEST)
+                        await client.send(READY_REQUEST)
                         dispatcher.accepting = client.answer.status == 200
             except (OSError, Ended, trio.TooSlowError):
                 pass
@@ -86,7 +86,7 @@
 
     def _configuration(self, number: int) -> dict[str, Any]:
         count = self._state.deployment.dispatcher_count
-        peers = [loopback_address(n, HEARD) for n in range(count)]
+        peers = [loopback_address(n, GOSSIP_PORT) for n in range(count)]
         host, port = loopback_address(number, LISTEN_PORT)
         return {
             "name": f"n{number}",
@@ -111,7 +111,7 @@
         """Sends SIGTERM, then SIGKILL once the time allowed for the shutdown is over, and starts it again."""
         program = dispatcher.program
         self._record_crash(dispatcher)
-        program.wanted = False
+        program.expected_running = False
         program.send(signal.SIGTERM)
         signalled_at = self._state.now()
         kill_after_s = min(self._state.deployment.longest_timeout_s, MAX_DRAIN_S) + LATE_REQUEST_S
@@ -167,7 +167,7 @@
     def _record_crash(self, dispatcher: Dispatcher) -> None:
         program = dispatcher.program
         code = program.process.poll() if program.process is not None else None
-        if program.wanted and code is not None:
+        if program.expected_running and code is not None:
             lines = [str(line) for line in program.events()[-2:]]
             self._state.crashed.append(
                 f"dispatcher {program.number} ended with status {code}: {' '.join(lines)}"
--- a/violetstack/rehearsal/fleet/campaign_requests.py
+++ b/violetstack/rehearsal/fleet/campaign_requests.py
@@ -118,7 +118,9 @@
         connection = None if script.reads_slowly else self._take_idle_connection(dispatcher, rng)
         exchange.reused_connection = connection is not None
         if connection is None:
-            connection = await ClientConnection.open(dispatcher.program.at, reads_slowly=script.reads_slowly)
+            connection = await ClientConnection.open(
+                dispatcher.program.address, reads_slowly=script.reads_slowly
+            )
         pipelined = self._new_pipelined_request(rng, exchange, script, dispatcher)
         call = ClientCall(
             connection, exchange, script, message, self._state.now, idle_s=idle_s, pipelined=pipelined
@@ -223,7 +225,7 @@
             raise NotAcceptedError("no dispatcher accepts new connections")
         dispatcher = rng.choice(accepting)
         exchange.dispatcher = dispatcher.program.number
-        connection = await ClientConnection.open(dispatcher.program.at)
+        connection = await ClientConnection.open(dispatcher.program.address)
         call = ClientCall(connection, exchange, self._state.scripts[exchange.id], message, self._state.now)
         await call.run()
         return dispatcher, call
--- a/violetstack/rehearsal/fleet/fleet_result.py
+++ b/violetstack/rehearsal/fleet/fleet_result.py
@@ -1,4 +1,4 @@
-"""Sums up a fleet run that has ended."""
+"""Summarizes a fleet run that has ended."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from violetstack.rehearsal.fleet.audit import Line, lines, to_full_s
+from violetstack.rehearsal.fleet.audit import TimelineRow, recovery_time_s, timeline
 from violetstack.rehearsal.fleet.fleet_state import FleetState
 from violetstack.rehearsal.fleet.report import LeaseHolder, Result
 
 VOID_LAG_S = 0.25
-"""Stand-ins that were later than this measured themselves."""
+"""If the simulated hosts and clients were later than this, the run measured their delay."""
 FAULT_EVENTS = frozenset(
     {
         "upstream_response_truncated",
@@ -29,7 +29,7 @@
 
 
 class LogSummary:
-    """Log lines of all dispatchers: counts by event, the first of faults, begin and end of shutdowns."""
+    """Log lines of all dispatchers: counts by event, first lines of faults, begin and end of shutdowns."""
 
     def __init__(self) -> None:
         self.events: Counter[str] = Counter()
@@ -37,7 +37,7 @@
         self.shutdowns: list[tuple[float, float, int]] = []
 
     def add(self, dispatcher: int, line: dict[str, Any]) -> None:
-        """A dispatcher's lines come in their order."""
+        """Add a line; a dispatcher's lines are added in their order."""
         event = line["event"]
         self.events[event] += 1
         if event == "shutdown_started":
@@ -50,39 +50,43 @@
 
 
 class FleetSummary:
-    """What the auditor, the logs and the clients show together."""
+    """Combines the audit, the logs and the timeline."""
 
     def __init__(self, state: FleetState) -> None:
         self._state = state
 
     def result(self) -> Result:
-        """Closes the audit and the logs."""
+        """Finish the audit, read the logs, and return the result."""
         state = self._state
         plan = state.plan
         audit = state.audit
-        audit.close(state.now())
+        audit.finish(state.now())
         calls = [at for agent in state.agents for at in agent.calls]
-        rows: list[Line] = lines(list(audit.asked.values()), state.in_flight, calls, plan.seconds)
+        rows: list[TimelineRow] = timeline(
+            list(audit.requests.values()), state.in_flight, calls, plan.duration_s
+        )
         log = self._read_logs()
         return Result(
             lines=[msgspec.to_builtins(row) for row in rows],
-            to_full_s=to_full_s(rows, plan.warm / 2, plan.fault_at, plan.over_at),
+            recovery_s=recovery_time_s(rows, plan.warm_up_s / 2, plan.first_fault_at, plan.faults_end_at),
             ready_s=[round(s, 3) for s in state.ready_s],
-            breaches=audit.breaches,
-            stale=audit.stale,
-            answers=dict(Counter(each.answer for each in audit.asked.values())),
+            violations=audit.violations,
+            stale_sends=audit.stale_sends,
+            outcomes=dict(Counter(request.outcome for request in audit.requests.values())),
             lag_s=round(state.lag, 3),
             void=state.lag > VOID_LAG_S,
             crashed=state.crashed,
             events=dict(log.events),
-            loud=log.faults,
+            fault_lines=log.faults,
             failures=dict(audit.failures),
             holders=[
-                LeaseHolder(round(row.first, 2), round(row.last, 2), row.dispatcher, row.fencing_token)
-                for row in audit.holders
+                LeaseHolder(
+                    round(tenure.first, 2), round(tenure.last, 2), tenure.dispatcher, tenure.fencing_token
+                )
+                for tenure in audit.tenures
             ],
-            ends=sorted(log.shutdowns),
-            others=self._others(),
+            shutdowns=sorted(log.shutdowns),
+            unaffected=self._unaffected(),
         )
 
     def _read_logs(self) -> LogSummary:
@@ -93,18 +97,30 @@
             program.log.close()
         return log
 
-    def _others(self) -> tuple[int, int, float] | None:
-        """Of the dispatchers whose links held, while others' were broken: asked, served, first token, ms."""
+    def _unaffected(self) -> tuple[int, int, float] | None:
+        """Return requests, served requests and the median time to the first token, in milliseconds.
+
+        Only requests count that were sent while paths to hosts were broken, to dispatchers whose own was not.
+        None if none of them had a first token.
+        """
         plan = self._state.plan
-        times = [(each.at, each.at + each.lasts) for each in plan.trouble if each.do == "link"]
-        rows = [
-            each
-            for each in self._state.audit.asked.values()
-            if each.first_try
-            and each.dispatcher not in self._state.broken_links
-            and any(first <= each.sent < last for first, last in times)
+        times = [(fault.at, fault.at + fault.duration_s) for fault in plan.faults if fault.kind == "link"]
+        requests = [
+            request
+            for request in self._state.audit.requests.values()
+            if request.first_try
+            and request.dispatcher not in self._state.broken_links
+            and any(first <= request.sent_at < last for first, last in times)
         ]
-        firsts = [(each.first - each.sent) * 1000.0 for each in rows if each.first is not None]
-        if not firsts:
+        first_tokens_ms = [
+            (request.first_token_at - request.sent_at) * 1000.0
+            for request in requests
+            if request.first_token_at is not None
+        ]
+        if not first_tokens_ms:
             return None
-        return len(rows), sum(each.answer == "served" for each in rows), round(median(firsts), 1)
+        return (
+            len(requests),
+            sum(request.outcome == "served" for request in requests),
+            round(median(first_tokens_ms), 1),
+        )
--- a/violetstack/rehearsal/fleet/fleet_state.py
+++ b/violetstack/rehearsal/fleet/fleet_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one fleet run share: its plan, its processes and stand-ins, and the auditor."""
+"""The state that the components of one fleet run share: plan, processes, simulated peers and audit."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from violetstack.config import Address
 from violetstack.rehearsal.fleet.addresses import loopback_address
 from violetstack.rehearsal.fleet.audit import Audit
-from violetstack.rehearsal.fleet.hosts import STREAM_S, Engine
+from violetstack.rehearsal.fleet.hosts import STREAM_S, SimulatedHost
 from violetstack.rehearsal.fleet.network import Agent, Relay
 from violetstack.rehearsal.fleet.plan import Plan
 from violetstack.rehearsal.fleet.programs import Program
@@ -22,18 +22,20 @@
 PREFILL_S = 0.1
 """How long a prefill host needs for the mean prompt."""
 RUNS = count()
-"""Each run of this process has addresses of its own."""
+"""Numbers the runs of this process, so that each has addresses of its own."""
 
 
 class FleetState:
-    """One run's parts.
+    """The state of one run.
 
     Attributes:
-        relayed: Whether datagrams between dispatchers pass the relay. It costs each sender a call a receiver,
-            so it is used only where something is to be lost.
-        in_flight: The most requests at once inside of one prefill host, by time.
+        relayed: Whether datagrams between dispatchers pass the relay. A sender then makes one call for each
+            receiver, so the relay is used only for plans with network faults or leases.
+        in_flight: The most requests at one prefill host, by time.
+        ready_s: The time from each start of a process to its first readiness.
+        crashed: The dispatchers that ended unexpectedly.
         broken_links: Dispatchers whose path to all hosts was broken at any time.
-        lag: How late the stand-ins were at most.
+        lag: How late the simulated hosts and clients were at most.
     """
 
     nursery: trio.Nursery
@@ -52,43 +54,43 @@
         self.relay: Relay | None = None
         self.programs: list[Program] = []
         self.agents: list[Agent] = []
-        self.engines: dict[str, Engine] = {}
+        self.hosts: dict[str, SimulatedHost] = {}
         self.in_flight: list[tuple[float, int]] = []
         self.ready_s: list[float] = []
         self.crashed: list[str] = []
-        self.relayed = "duties" in plan.file or any(each.do == "network" for each in plan.trouble)
+        self.relayed = "duties" in plan.operator_file or any(fault.kind == "network" for fault in plan.faults)
         self.broken_links: set[int] = set()
         self.lag = 0.0
         self._run = next(RUNS)
-        self._began = time.monotonic()
+        self._began_at = time.monotonic()
 
     def now(self) -> float:
         """Seconds since the load began."""
-        return time.monotonic() - self._began
+        return time.monotonic() - self._began_at
 
-    def load_begins(self) -> None:
-        """Forgets what happened before: the start is no part of the run."""
-        self._began = time.monotonic()
+    def begin_load(self) -> None:
+        """Set the time to 0 and discard earlier records; the start of the fleet is not part of the run."""
+        self._began_at = time.monotonic()
         self.lag = 0.0
-        self.audit.holders = []
+        self.audit.tenures = []
         self.in_flight = []
         self.ready_s = []
         for agent in self.agents:
             agent.calls = []
         for program in self.programs:
-            program.last_yes = 0.0
+            program.last_ready_at = 0.0
 
     def address(self, number: int, port: int) -> Address:
-        """A dispatcher's address in this run."""
+        """Return a dispatcher's address in this run."""
         return loopback_address(number, port, self._run)
 
-    def new_host(self, name: str, kind: str, born: float | None = None) -> Engine:
-        """A host with the capacity that the plan's load needs; `born`: when it started, if it is cold."""
+    def new_host(self, name: str, kind: str, started_at: float | None = None) -> SimulatedHost:
+        """Return a host with the capacity for the plan's load; `started_at` is None if it is warm."""
         plan = self.plan
-        host_count = plan.readers if kind == "prefill" else plan.writers
+        host_count = plan.prefill_hosts if kind == "prefill" else plan.decode_hosts
         work_s = PREFILL_S if kind == "prefill" else STREAM_S
-        slots = max(2, math.ceil(plan.rate / host_count / plan.load * work_s))
-        return Engine(
+        slots = max(2, math.ceil(plan.rate / host_count / plan.utilization * work_s))
+        return SimulatedHost(
             name,
             kind,
             slots=slots,
@@ -96,5 +98,5 @@
             work_s=work_s,
             audit=self.audit,
             clock=self.now,
-            born=born,
+            started_at=started_at,
         )
--- a/violetstack/rehearsal/fleet/minimal_http.py
+++ b/violetstack/rehearsal/fleet/minimal_http.py
@@ -1,5 +1,7 @@
-"""HTTP as cheap as a stand-in needs it: it knows the other side and measures it, so it must not fall
-behind."""
+"""A minimal HTTP implementation for simulated hosts and clients.
+
+It handles only what dispatchers send, so that the processes that measure them do not fall behind.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +9,7 @@
 
 from violetstack.config import Address
 
-READ = 64 * 1024
+MAX_READ_BYTES = 64 * 1024
 
 
 class Ended(Exception):
@@ -15,35 +17,37 @@
 
 
 class Wire:
-    """One connection; what was read too much waits for the next message."""
+    """One connection; bytes after the end of a message are kept for the next one."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
-        self.rest = b""
+        self.buffer = b""
 
-    async def more(self) -> None:
+    async def receive(self) -> None:
+        """Receive more bytes into the buffer. Raises Ended."""
         try:
-            data = await self.stream.receive_some(READ)
+            data = await self.stream.receive_some(MAX_READ_BYTES)
         except trio.BrokenResourceError:
             data = b""
         if not data:
             raise Ended
-        self.rest += data
+        self.buffer += data
 
     async def head(self) -> tuple[list[str], dict[str, str]]:
-        """The first line's words, and the headers by their names in small letters."""
-        while (end := self.rest.find(b"\r\n\r\n")) < 0:
-            await self.more()
-        first, *rows = self.rest[:end].decode("latin-1").split("\r\n")
-        self.rest = self.rest[end + 4 :]
+        """Receive a head; return the parts of its first line, and the headers by lower-case name."""
+        while (end := self.buffer.find(b"\r\n\r\n")) < 0:
+            await self.receive()
+        first, *rows = self.buffer[:end].decode("latin-1").split("\r\n")
+        self.buffer = self.buffer[end + 4 :]
         pairs = (row.partition(":") for row in rows)
         return first.split(" ", 2), {name.strip().lower(): value.strip() for name, _, value in pairs}
 
     async def body(self, length: int) -> bytes:
-        while len(self.rest) < length:
-            await self.more()
-        body = self.rest[:length]
-        self.rest = self.rest[length:]
+        """Receive a body of known length."""
+        while len(self.buffer) < length:
+            await self.receive()
+        body = self.buffer[:length]
+        self.buffer = self.buffer[length:]
         return body
 
     async def send(self, data: bytes) -> None:
@@ -53,28 +57,34 @@
             raise Ended from None
 
 
-def message(first: str, headers: dict[str, str], body: bytes = b"") -> bytes:
+def message(first_line: str, headers: dict[str, str], body: bytes = b"") -> bytes:
     rows = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
-    return f"{first}\r\n{rows}Content-Length: {len(body)}\r\n\r\n".encode() + body
+    return f"{first_line}\r\n{rows}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 def chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-LAST = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 class Answer:
-    """What a client saw: `status` 0 is none, `whole` a stream to its last chunk; `kept`: the connection
-    stays."""
+    """A response as its client saw it.
+
+    Attributes:
+        status: 0 if none arrived.
+        stream_begun: Whether the first bytes of a stream arrived.
+        complete: Whether a stream arrived up to its last chunk.
+        keep_alive: Whether the connection stays open.
+    """
 
     def __init__(self) -> None:
         self.status = 0
         self.retry_after = 0.0
-        self.first = False
-        self.whole = False
-        self.kept = False
+        self.stream_begun = False
+        self.complete = False
+        self.keep_alive = False
 
     @property
     def outcome(self) -> str:
@@ -82,42 +92,45 @@
             return "refused"
         if self.status != 200:
             return "failed" if self.status else "lost"
-        return "served" if self.whole else "cut"
+        return "served" if self.complete else "cut"
 
 
 class Client:
+    """Sends one request on a connection and receives the response."""
+
     def __init__(self, stream: trio.SocketStream) -> None:
         self.wire = Wire(stream)
         self.answer = Answer()
 
-    async def ask(self, request: bytes) -> None:
-        """Until the answer's head and, of a stream, its first bytes."""
+    async def send(self, request: bytes) -> None:
+        """Send a request; receive a complete response, or the head and the first bytes of a stream."""
         await self.wire.send(request)
-        words, headers = await self.wire.head()
-        self.answer.status = int(words[1])
+        status_line, headers = await self.wire.head()
+        self.answer.status = int(status_line[1])
         self.answer.retry_after = float(headers.get("retry-after", 0.0))
-        self.answer.kept = headers.get("connection", "").lower() != "close"
+        self.answer.keep_alive = headers.get("connection", "").lower() != "close"
         if "chunked" not in headers.get("transfer-encoding", ""):
             await self.wire.body(int(headers.get("content-length", 0)))
             return
-        while not self.wire.rest:
-            await self.wire.more()
-        self.answer.first = True
+        while not self.wire.buffer:
+            await self.wire.receive()
+        self.answer.stream_begun = True
 
     async def finish(self) -> None:
-        while not self.wire.rest.endswith(LAST):
-            await self.wire.more()
-        self.answer.whole = True
-        self.wire.rest = b""
+        """Receive a stream up to its last chunk."""
+        while not self.wire.buffer.endswith(LAST_CHUNK):
+            await self.wire.receive()
+        self.answer.complete = True
+        self.wire.buffer = b""
 
 
-async def connect(at: Address, receive_buffer_bytes: int | None = None) -> trio.SocketStream:
-    """`receive_buffer_bytes` bounds what this machine takes before it is read."""
+async def connect(address: Address, receive_buffer_bytes: int | None = None) -> trio.SocketStream:
+    """Connect; `receive_buffer_bytes` limits how much is received before the program reads it."""
     sock = trio.socket.socket()
     if receive_buffer_bytes is not None:
         sock.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_RCVBUF, receive_buffer_bytes)
     try:
-        await sock.connect(at)
+        await sock.connect(address)
     except BaseException:
         sock.close()
         raise
--- a/violetstack/rehearsal/fleet/runner.py
+++ b/violetstack/rehearsal/fleet/runner.py
@@ -1,6 +1,6 @@
-"""A fleet run: processes, agents, relay, hosts and clients, and the troubles of its plan.
+"""A fleet run: processes, discovery agents, relay, hosts and clients, and the faults of its plan.
 
-Nothing outlives it: processes die with this one, and each run has loopback addresses of its own.
+Its processes are killed when this one ends, and each run has loopback addresses of its own.
 """
 
 from __future__ import annotations
@@ -23,11 +23,14 @@
 from violetstack.rehearsal.fleet.report import Result
 
 LAG_INTERVAL_S = 0.02
-LAST_ANSWERS_S = GIVE_UP_S + 0.6
+LAST_RESPONSES_S = GIVE_UP_S + 0.6
 
 
 class FleetRun:
-    """One run of a plan. `root`: the tree whose `run` is started."""
+    """One run of a plan.
+
+    `root` is the source tree whose dispatcher is started, by the `run` command of its deploy file.
+    """
 
     def __init__(self, plan: Plan, root: Path = ROOT) -> None:
         self._state = FleetState(plan, root)
@@ -36,16 +39,17 @@
         self._clients = LoadClients(self._state)
 
     def address(self, number: int, port: int) -> Address:
-        """Where a dispatcher of this run listens."""
+        """Return the address of a dispatcher of this run."""
         return self._state.address(number, port)
 
     @property
     def network_faults(self) -> dict[int, str]:
-        """What befalls the network of dispatchers now, by number."""
+        """The present fault of each dispatcher's network, by number."""
         relay = self._state.relay
-        return relay.how if relay is not None else {}
+        return relay.faults if relay is not None else {}
 
     async def run(self) -> Result:
+        """Play the plan; return the result once the last requests have had time to end."""
         state = self._state
         async with trio.open_nursery() as nursery:
             state.nursery = nursery
@@ -53,12 +57,12 @@
             await self._start_network(rows)
             try:
                 await self._processes.start_all(rows)
-                state.load_begins()
-                nursery.start_soon(self._measure)
-                for trouble in state.plan.trouble:
-                    nursery.start_soon(self._faults.inject, trouble)
+                state.begin_load()
+                nursery.start_soon(self._measure_lag)
+                for fault in state.plan.faults:
+                    nursery.start_soon(self._faults.inject, fault)
                 await self._clients.run()
-                await trio.sleep(LAST_ANSWERS_S)
+                await trio.sleep(LAST_RESPONSES_S)
             finally:
                 for program in state.programs:
                     program.end()
@@ -68,14 +72,14 @@
         return FleetSummary(state).result()
 
     async def _start_hosts(self) -> list[dict[str, Any]]:
-        """Returns the endpoint list."""
+        """Start the hosts of the plan; return the endpoint list."""
         state = self._state
-        kinds = [("prefill", f"r{n}") for n in range(state.plan.readers)]
-        kinds += [("decode", f"w{n}") for n in range(state.plan.writers)]
+        kinds = [("prefill", f"r{n}") for n in range(state.plan.prefill_hosts)]
+        kinds += [("decode", f"w{n}") for n in range(state.plan.decode_hosts)]
         for kind, name in kinds:
-            state.engines[name] = state.new_host(name, kind)
-            await state.nursery.start(state.engines[name].serve)
-        return [engine.row() for engine in state.engines.values()]
+            state.hosts[name] = state.new_host(name, kind)
+            await state.nursery.start(state.hosts[name].serve)
+        return [host.row() for host in state.hosts.values()]
 
     async def _start_network(self, rows: list[dict[str, Any]]) -> None:
         state = self._state
@@ -83,17 +87,17 @@
         relay = Relay(plan.dispatchers, plan.seed, state.address, state.nursery)
         state.relay = relay
         if state.relayed:
-            relay.saw = self._audit_datagram
+            relay.on_datagram = self._audit_datagram
             await relay.open()
         for number in range(plan.dispatchers):
-            agent = Agent(number, rows, state.audit.told, state.now)
+            agent = Agent(number, rows, state.audit.drains_written, state.now)
             state.agents.append(agent)
             await state.nursery.start(agent.serve)
             if state.relayed:
                 state.nursery.start_soon(relay.run, number)
 
     def _audit_datagram(self, sender: int, data: bytes) -> None:
-        """Audits each broadcast under a lease as it leaves its holder."""
+        """Audit the broadcasts under a lease in a datagram, as its sender sends it."""
         if not is_lease_datagram(data):
             return
         for message in decode(data).messages:
@@ -102,18 +106,18 @@
                     self._state.now(), sender, message.lease_id, message.fencing_token
                 )
 
-    async def _measure(self) -> None:
-        """How late the stand-ins are, and the most requests at once inside of one host."""
+    async def _measure_lag(self) -> None:
+        """Record how late this process runs, and the most requests at one prefill host."""
         state = self._state
         while True:
-            before = state.now()
+            slept_from = state.now()
             await trio.sleep(LAG_INTERVAL_S)
-            state.lag = max(state.lag, state.now() - before - LAG_INTERVAL_S)
+            state.lag = max(state.lag, state.now() - slept_from - LAG_INTERVAL_S)
             state.audit.lag = state.lag
-            in_flight = [engine.inside for engine in state.engines.values() if engine.kind == "prefill"]
+            in_flight = [host.in_flight for host in state.hosts.values() if host.kind == "prefill"]
             state.in_flight.append((state.now(), max(in_flight, default=0)))
 
 
 def play(plan: Plan, root: Path = ROOT) -> Result:
-    """`root`: the tree whose `run` is started. The stand-ins have a core of their own, if there are three."""
+    """Run a plan. With three cores or more, the simulated hosts and clients have the first to themselves."""
     return trio.run(FleetRun(plan, root).run)
--- a/violetstack/rehearsal/fleet/soak_environment.py
+++ b/violetstack/rehearsal/fleet/soak_environment.py
@@ -200,7 +200,7 @@
         ends_at = self._state.now() + duration_s
         while self._state.now() < ends_at:
             with suppress(OSError, trio.BrokenResourceError):
-                stream = await connect(dispatcher.program.at)
+                stream = await connect(dispatcher.program.address)
                 streams.append(stream)
                 await stream.send_all(HALF_REQUEST)
             await trio.sleep(FLOOD_INTERVAL_S)
@@ -227,7 +227,7 @@
         agent.begin_at(self._state.agents[program.number].version)
         await peers.start(agent.serve)
         self._state.move_agent(program.number, agent)
-        program.told["discovery"] = agent.address
+        program.node_config["discovery"] = agent.address
         async with self._restart_locks[program.number]:
             if program.process is not None and program.process.poll() is None:
                 program.rewrite_configuration()
