--- a/violetstack/admin/api.py
+++ b/violetstack/admin/api.py
@@ -88,7 +88,7 @@
         """
 
 
-class Route(NamedTuple):
+class AdminRoute(NamedTuple):
     """The method of a path, and the function that handles its requests."""
 
     method: str
@@ -191,7 +191,7 @@
 
 
 def _resign(operations: AdminOperations, request: HttpRequest) -> ResignResponse:
-    return operations.resign(_name(request, "a duty's name"))
+    return operations.resign(_name_in_body(request, "a duty's name"))
 
 
 def _change_cordon(change: Callable[[str], None], endpoint_id: str) -> None:
@@ -207,10 +207,10 @@
 
 
 def _endpoint_id(request: HttpRequest) -> str:
-    return _name(request, "the id of one model host")
+    return _name_in_body(request, "the id of one model host")
 
 
-def _name(request: HttpRequest, expected: str) -> str:
+def _name_in_body(request: HttpRequest, expected: str) -> str:
     """Returns the name in the request's body; `expected` describes it in the error."""
     try:
         name = bytes(request.body).decode().strip()
@@ -222,12 +222,12 @@
 
 
 ROUTES = {
-    "/admin/health": Route("GET", _health, needs_start=False),
-    "/admin/stats": Route("GET", _stats, needs_start=False),
-    "/admin/invariants": Route("GET", _invariants, needs_start=False),
-    "/admin/cordon": Route("POST", _cordon, needs_start=True),
-    "/admin/uncordon": Route("POST", _uncordon, needs_start=True),
-    "/admin/duties": Route("GET", _leases, needs_start=True),
-    "/admin/leave": Route("POST", _request_restart, needs_start=True),
-    "/admin/resign": Route("POST", _resign, needs_start=True),
+    "/admin/health": AdminRoute("GET", _health, needs_start=False),
+    "/admin/stats": AdminRoute("GET", _stats, needs_start=False),
+    "/admin/invariants": AdminRoute("GET", _invariants, needs_start=False),
+    "/admin/cordon": AdminRoute("POST", _cordon, needs_start=True),
+    "/admin/uncordon": AdminRoute("POST", _uncordon, needs_start=True),
+    "/admin/duties": AdminRoute("GET", _leases, needs_start=True),
+    "/admin/leave": AdminRoute("POST", _request_restart, needs_start=True),
+    "/admin/resign": AdminRoute("POST", _resign, needs_start=True),
 }
--- a/violetstack/load_shedding/admission.py
+++ b/violetstack/load_shedding/admission.py
@@ -111,12 +111,12 @@
         rate.add(now, request_work(prompt_tokens))
 
     def record_started(self, now: float, prompt_tokens: float, lateness: float) -> None:
-        """Records a first token; `lateness` is the time to the first token divided by its objective."""
-        self.capacity.work_done(now, request_work(prompt_tokens), lateness)
+        """Records a first token; `lateness` is the time to the first token over its objective."""
+        self.capacity.record_work_done(now, request_work(prompt_tokens), lateness)
 
     def record_rejected(self, now: float, prompt_tokens: float) -> None:
         """Records an admitted request that the policy rejected or that failed."""
-        self.capacity.work_rejected(now, request_work(prompt_tokens))
+        self.capacity.record_work_rejected(now, request_work(prompt_tokens))
 
     # --- shares, once a tick ---
 
--- a/violetstack/load_shedding/capacity.py
+++ b/violetstack/load_shedding/capacity.py
@@ -33,13 +33,13 @@
         self._late = DecayingRate(WORK_MEMORY_MS, 0.0)
         self._rejected = DecayingRate(WORK_MEMORY_MS, 0.0)
 
-    def work_done(self, now: float, work: float, lateness: float) -> None:
+    def record_work_done(self, now: float, work: float, lateness: float) -> None:
         """Records work that reached its first token; `lateness` is the time to it over its objective."""
         self._done.add(now, work)
         if lateness > 1.0:
             self._late.add(now, work)
 
-    def work_rejected(self, now: float, work: float) -> None:
+    def record_work_rejected(self, now: float, work: float) -> None:
         """Records admitted work that was rejected or failed."""
         self._rejected.add(now, work)
 
--- a/violetstack/load_shedding/load_shedder.py
+++ b/violetstack/load_shedding/load_shedder.py
@@ -82,7 +82,7 @@
         self._apply_actions(now)
         level = self.state_machine.name
         self._log("level_started", level=level, why=restored.reason, cautious=not restored.is_known)
-        self._pin_as_planned(now, wall_s)
+        self._apply_planned_pin(now, wall_s)
 
     def reload(self, now: float, wall_s: float, plan: LevelPlan) -> None:
         """Applies the levels of a reloaded operator's file."""
@@ -90,10 +90,10 @@
         self.plan = plan
         specs = plan.specs
         change = self.state_machine.replace_specs(specs, plan.max_changes_per_minute, now)
-        self._changed(now, wall_s, change)
+        self._handle_change(now, wall_s, change)
         self._apply_actions(now)
         if (plan.pinned_level, plan.pin_duration_ms) != (old.pinned_level, old.pin_duration_ms):
-            self._pin_as_planned(now, wall_s)
+            self._apply_planned_pin(now, wall_s)
 
     def pin(self, now: float, wall_s: float, level: str, duration_ms: float, by: str) -> None:
         """Puts a level in force for a time, whatever the signals are.
@@ -103,14 +103,14 @@
         """
         self.state_machine.rank_of(level)
         self._log("level_pinned", level=level, for_s=round(duration_ms / 1000.0), by=by)
-        self._changed(now, wall_s, self.state_machine.set_pin(now, Pin(level, now + duration_ms, by)))
+        self._handle_change(now, wall_s, self.state_machine.set_pin(now, Pin(level, now + duration_ms, by)))
 
     def unpin(self) -> None:
         """Ends the pin, so that the signals determine the level again."""
         self.state_machine.pin = None
         self._log("level_unpinned", level=self.state_machine.name)
 
-    def _pin_as_planned(self, now: float, wall_s: float) -> None:
+    def _apply_planned_pin(self, now: float, wall_s: float) -> None:
         level = self.plan.pinned_level
         if level in self.state_machine.names:
             self.pin(now, wall_s, level, self.plan.pin_duration_ms, PINNED_BY_FILE)
@@ -184,14 +184,14 @@
             self.signals.set_gauge(now, name, value)
         self.signals.set_endpoint_counts(now, endpoints)
         self._readings = self.signals.readings(now, waiting)
-        self._changed(now, wall_s, self.state_machine.tick(now, self._readings))
+        self._handle_change(now, wall_s, self.state_machine.tick(now, self._readings))
         self.admission.tick(now)
         if self.state_machine.rank and wall_s - self._last_record_s >= HEARTBEAT_S:
             self._last_record_s = wall_s
             level = self.state_machine.name
             self._unwritten_records.append(JournalRecord(level, wall_s, self._since_s, is_heartbeat=True))
 
-    def _changed(self, now: float, wall_s: float, change: LevelChange | None) -> None:
+    def _handle_change(self, now: float, wall_s: float, change: LevelChange | None) -> None:
         if change is None:
             return
         self._since_s = wall_s
--- a/violetstack/load_shedding/signal_conditions.py
+++ b/violetstack/load_shedding/signal_conditions.py
@@ -126,12 +126,12 @@
             interval = Interval(bound, math.inf) if at_least else Interval(-math.inf, bound)
             return [{signal: interval}]
         case Disjunction(parts):
-            found = _bounded([region for part in parts for region in regions(part)])
+            result = _within_limit([region for part in parts for region in regions(part)])
         case Conjunction(parts):
-            found = [{}]
+            result = [{}]
             for part in parts:
-                found = _bounded(_intersections(found, regions(part)))
-    return found
+                result = _within_limit(_intersections(result, regions(part)))
+    return result
 
 
 def overlap(first: SignalCondition, second: SignalCondition) -> Region | None:
@@ -143,10 +143,10 @@
     return next(iter(regions(Conjunction((first, second)))), None)
 
 
-def _bounded(found: list[Region]) -> list[Region]:
-    if len(found) > MAX_REGIONS:
+def _within_limit(candidates: list[Region]) -> list[Region]:
+    if len(candidates) > MAX_REGIONS:
         raise TooManyRegionsError(MAX_REGIONS)
-    return found
+    return candidates
 
 
 def _intersections(first: list[Region], second: list[Region]) -> list[Region]:
--- a/violetstack/load_shedding/state_machine.py
+++ b/violetstack/load_shedding/state_machine.py
@@ -34,7 +34,7 @@
 MINUTE_MS = 60_000.0
 CAUTIOUS_MS = 30_000.0  # for this long after a start without a known level, levels are entered sooner
 CAUTIOUS_ENTER_FACTOR = 0.25
-SETTLE_MS = 10_000.0  # a level is not left for this long after a restart or a pin, until signals are known
+SETTLE_MS = 10_000.0  # a level is not left for this long after a restart or a pin, to collect events first
 READING_DIGITS = 3
 
 
@@ -194,14 +194,14 @@
     def transitions(self, now: float, readings: Mapping[str, Reading]) -> list[Transition]:
         """Returns the possible changes from the level in force: leaving it, or entering a higher one."""
         values = {name: reading.value for name, reading in readings.items()}
-        found: list[Transition] = []
+        transitions: list[Transition] = []
         for rank, spec in enumerate(self.specs, 1):
             if rank < self.rank:
                 continue
             is_current = rank == self.rank
             condition = spec.leave if is_current else spec.enter
             since = self._leave_held_since if is_current else self._enter_held_since.get(spec.name)
-            found.append(
+            transitions.append(
                 Transition(
                     level=spec.name,
                     action="leave" if is_current else "enter",
@@ -214,7 +214,7 @@
                     },
                 )
             )
-        return found
+        return transitions
 
     # --- conditions ---
 
