--- a/violetstack/config.py
+++ b/violetstack/config.py
@@ -138,7 +138,7 @@
         if self.peer_listen is None or peer_count != size or self.settings.dispatcher_index >= peer_count:
             raise ConfigError(
                 f"duties: peer_listen and an entry in peers for each of the {size} dispatchers are required; "
-                f"peers has {peer_count}"
+                f"peers has {peer_count}, and this is dispatcher {self.settings.dispatcher_index}"
             )
         if leases.restart_permits >= size > 1:
             raise ConfigError(
