--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -274,7 +274,7 @@
             while (await ask_platform(on.platform, f"b{n}", "consulta")).outcome != "served":
                 n += 1
                 await trio.sleep(0.05)
-        assert "q1" not in prefill_host.received_ids + decode_host.received_ids  # no decode host
+        assert "q1" not in prefill_host.received_ids + decode_host.received_ids  # w is cordoned
 
     hosts = pair()
     play(*hosts, story=story)
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -358,9 +358,8 @@
         next(connect for connect in connects.values() if connect.requested.is_set()).may_complete.set()
         released = ("DELETE", "q1")
         await wait_until(lambda: released in prefill_host.calls + other.calls + decode_host.calls)
-        assert (
-            len(prefill_host.received_ids) + len(other.received_ids) == 1
-        )  # the next attempt is not sent yet
+        # The next attempt is not sent yet.
+        assert len(prefill_host.received_ids) + len(other.received_ids) == 1
         for connect in connects.values():
             connect.may_complete.set()
         assert (await call.receive()).outcome == "served"
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -1,4 +1,4 @@
-"""Stories over loopback sockets: a whole dispatcher between scripted peers, one for each failure met."""
+"""A complete dispatcher between scripted peers on loopback sockets: one test for each known failure."""
 
 from __future__ import annotations
 
@@ -25,12 +25,14 @@
 from violetstack.rehearsal.peer import PeerConnection
 from violetstack.rehearsal.stage import Stage, stage
 
-LIMIT_S = 15.0
+TIMEOUT_S = 15.0
 
 
 def play(*hosts: ModelHost, story: Callable[[Stage], Awaitable[None]], **changes: object) -> None:
+    """Run a test's steps with a dispatcher between these hosts; `changes` are parameters of `stage`."""
+
     async def main() -> None:
-        with trio.fail_after(LIMIT_S):
+        with trio.fail_after(TIMEOUT_S):
             async with stage(*hosts, **changes) as on:  # type: ignore[arg-type]
                 await story(on)
 
@@ -38,163 +40,164 @@
 
 
 def pair(*acts: Act, reads: tuple[Act, ...] = ()) -> tuple[ModelHost, ModelHost]:
+    """Return a prefill host that follows the script `reads`, and a decode host that follows `acts`."""
     return ModelHost("r", "prefill", *reads), ModelHost("w", "decode", *acts)
 
 
-def test_a_request_is_read_then_written_and_its_events_pass_unchanged() -> None:
-    reader, writer = pair()
+def test_a_request_is_prefilled_and_decoded_and_its_events_are_forwarded_unchanged() -> None:
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         answer = await ask_platform(on.platform, "q1", "consulta")
         assert (answer.status, answer.whole, answer.events[-1]) == (200, True, b"[DONE]")
         assert answer.body.startswith(b'data: {"choices":[{"index":0,"delta":{"content":"')
-        assert (reader.received_ids, writer.received_ids) == (["q1"], ["q1"])
-        assert reader.bodies == writer.bodies
-        assert writer.calls == [("POST", "q1")]
+        assert (prefill_host.received_ids, decode_host.received_ids) == (["q1"], ["q1"])
+        assert prefill_host.bodies == decode_host.bodies
+        assert decode_host.calls == [("POST", "q1")]
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_stream_that_breaks_ends_without_the_last_chunk_and_is_not_sent_again() -> None:
-    reader, writer = pair(CUT)
+def test_a_stream_that_breaks_ends_without_the_last_chunk_and_is_not_retried() -> None:
+    prefill_host, decode_host = pair(CUT)
 
     async def story(on: Stage) -> None:
         answer = await ask_platform(on.platform, "q1", "consulta")
         assert (answer.status, answer.whole, len(answer.events)) == (200, False, 2)
-        assert writer.received_ids == ["q1"]
+        assert decode_host.received_ids == ["q1"]
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
 @pytest.mark.parametrize("act", [ERROR, RESET], ids=["error", "reset"])
-def test_an_order_that_may_have_run_fails_and_is_not_sent_again(act: Act) -> None:
-    reader, writer = pair(act)
+def test_an_order_that_may_have_run_fails_and_is_not_retried(act: Act) -> None:
+    prefill_host, decode_host = pair(act)
 
     async def story(on: Stage) -> None:
         answer = await ask_platform(on.platform, "q1", "orden")
         assert answer.status == 500
-        assert writer.received_ids == ["q1"]
+        assert decode_host.received_ids == ["q1"]
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_an_order_turned_away_by_every_writer_is_refused_and_its_state_released() -> None:
-    reader, writer = pair(DECLINE, DECLINE, DECLINE, DECLINE, DECLINE)
+def test_an_order_declined_by_every_decode_host_is_rejected_and_its_state_released() -> None:
+    prefill_host, decode_host = pair(DECLINE, DECLINE, DECLINE, DECLINE, DECLINE)
 
     async def story(on: Stage) -> None:
         answer = await ask_platform(on.platform, "q1", "orden")
         assert answer.outcome == "refused"
         assert 0 < float(answer.headers["retry-after"]) <= 0.5
         await trio.testing.wait_all_tasks_blocked()
-        await reader.until(lambda: ("DELETE", "q1") in reader.calls + writer.calls)
+        await prefill_host.until(lambda: ("DELETE", "q1") in prefill_host.calls + decode_host.calls)
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_withdrawn_read_is_closed_before_the_refusal_reaches_the_client() -> None:
-    """Else an order is refused while an attempt of it is still out (seen on a fleet day)."""
-    reader, writer = pair(reads=(SILENT,))
+def test_a_cancelled_prefill_is_closed_before_the_rejection_is_sent() -> None:
+    """Regression: an order was rejected while one of its attempts was still at a host."""
+    prefill_host, decode_host = pair(reads=(SILENT,))
 
     async def story(on: Stage) -> None:
         core = on.daemon.core
-        closed = []
+        descriptors_after_abort = []
         abort = core.driver.abort_attempt
 
-        def watched(attempt: Attempt) -> None:
-            using = on.daemon.upstream_driver.attempts.connection_of(attempt)
-            assert using is not None
+        def abort_and_record(attempt: Attempt) -> None:
+            connection = on.daemon.upstream_driver.attempts.connection_of(attempt)
+            assert connection is not None
             abort(attempt)
-            closed.append(using.sock.fileno())
+            descriptors_after_abort.append(connection.sock.fileno())
 
-        core.driver.abort_attempt = watched  # type: ignore[method-assign]
+        core.driver.abort_attempt = abort_and_record  # type: ignore[method-assign]
         answer = await ask_platform(on.platform, "q1", "orden", Req_Deadline="400m")
         assert answer.outcome == "refused"
-        assert closed == [-1]
+        assert descriptors_after_abort == [-1]
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_client_gone_in_the_middle_of_a_stream_ends_the_attempt() -> None:
-    hold = trio.Event()
-    reader, writer = pair(Act(pause=hold))
+def test_a_client_that_disconnects_during_a_stream_ends_the_attempt() -> None:
+    resume_stream = trio.Event()
+    prefill_host, decode_host = pair(Act(pause=resume_stream))
 
     async def story(on: Stage) -> None:
         call = await connect(on.platform)
         await call.send("POST", "/v1/chat/completions", platform_headers("q1", "consulta"), BODY)
         await call.receive(events=3)
         await call.stream.aclose()
-        # the place was asked for on a connection of its own
+        # The reservation was sent on a connection of its own.
         idle = on.daemon.upstream_driver.pool.hosts["w"].idle
-        while len(writer.connections) > len(idle):
+        while len(decode_host.connections) > len(idle):
             await trio.testing.wait_all_tasks_blocked()
-            hold.set()
+            resume_stream.set()
         assert len(idle) == 1 and not on.daemon.core.open_requests
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
 def test_a_host_that_closed_an_idle_connection_costs_no_attempt() -> None:
-    reader, writer = pair()
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         await ask_platform(on.platform, "q1", "orden")
-        reader.hang_up()
-        writer.hang_up()
+        prefill_host.hang_up()
+        decode_host.hang_up()
         await trio.testing.wait_all_tasks_blocked()
         answer = await ask_platform(on.platform, "q2", "orden")
-        assert (answer.outcome, writer.received_ids) == ("served", ["q1", "q2"])
+        assert (answer.outcome, decode_host.received_ids) == ("served", ["q1", "q2"])
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_drain_told_before_the_first_byte_keeps_the_send_from_going_out() -> None:
-    reader, writer = pair()
+def test_a_drain_received_before_the_first_byte_is_sent_prevents_the_send() -> None:
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         core = on.daemon.core
-        core.draining.add("w")  # told before the module heard of it
+        core.draining.add("w")  # before the policy has the update
         answer = await ask_platform(on.platform, "q1", "orden")
         assert answer.outcome == "refused"
-        assert (writer.received_ids, writer.calls) == ([], [])
+        assert (decode_host.received_ids, decode_host.calls) == ([], [])
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_place_of_which_nothing_is_known_is_released() -> None:
-    reader, writer = pair(DECLINE, DECLINE, DECLINE, DECLINE, DECLINE)
-    writer.on_call = lambda method, _: 204
+def test_an_uncertain_reservation_is_released() -> None:
+    prefill_host, decode_host = pair(DECLINE, DECLINE, DECLINE, DECLINE, DECLINE)
+    decode_host.on_call = lambda method, _: 204
 
     async def story(on: Stage) -> None:
         await ask_platform(on.platform, "q1", "consulta")
-        await writer.until(lambda: ("DELETE", "q1") in reader.calls + writer.calls)
+        await decode_host.until(lambda: ("DELETE", "q1") in prefill_host.calls + decode_host.calls)
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
 def test_a_release_goes_to_another_host_when_the_first_does_not_answer() -> None:
-    reader, writer = pair(reads=(SILENT,))
+    prefill_host, decode_host = pair(reads=(SILENT,))
 
     async def story(on: Stage) -> None:
-        request = trio.Event()
+        answered = trio.Event()
 
         async def ask() -> None:
             await ask_platform(on.platform, "q1", "orden", Req_Deadline="300m")
-            request.set()
+            answered.set()
 
         on.nursery.start_soon(ask)
-        await reader.until(lambda: bool(reader.received_ids))
-        reader.die()
-        await request.wait()
-        await writer.until(lambda: ("DELETE", "q1") in writer.calls)
+        await prefill_host.until(lambda: bool(prefill_host.received_ids))
+        prefill_host.die()
+        await answered.wait()
+        await decode_host.until(lambda: ("DELETE", "q1") in decode_host.calls)
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_the_watch_reconnects_from_its_index() -> None:
-    reader, writer = pair()
+def test_the_watch_reconnects_with_its_last_version() -> None:
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        on.discovery.publish(writer.row(state="leaving"))
+        on.discovery.publish(decode_host.row(state="leaving"))
         while "w" not in on.daemon.core.draining:
             await trio.sleep(0.001)
         on.discovery.hang_up()
@@ -202,7 +205,7 @@
             await trio.sleep(0.001)
         assert on.discovery.request_targets[-1].endswith("index=2")
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
 @pytest.mark.parametrize(
@@ -214,7 +217,7 @@
         ({"Req_Deadline": "soon"}, 400),
     ],
 )
-def test_bad_headers_get_a_4xx_and_a_log_line(
+def test_invalid_headers_get_status_400_and_a_log_line(
     changes: dict[str, str], status: int, capfd: pytest.CaptureFixture[str]
 ) -> None:
     async def story(on: Stage) -> None:
@@ -224,7 +227,7 @@
     assert '"event":"client_rejected"' in capfd.readouterr().out
 
 
-def test_a_body_over_the_limit_gets_413() -> None:
+def test_a_body_over_the_limit_gets_status_413() -> None:
     async def story(on: Stage) -> None:
         answer = await ask_platform(on.platform, "q1", "consulta", text="x" * 300_000)
         assert answer.status == 413
@@ -232,9 +235,9 @@
     play(*pair(), story=story)
 
 
-def test_sigterm_serves_on_and_finishes_what_was_taken() -> None:
-    hold = trio.Event()
-    reader, writer = pair(Act(pause=hold))
+def test_during_shutdown_requests_are_served_and_streams_completed() -> None:
+    resume_stream = trio.Event()
+    prefill_host, decode_host = pair(Act(pause=resume_stream))
 
     async def story(on: Stage) -> None:
         call = await connect(on.platform)
@@ -242,15 +245,15 @@
         await call.receive(events=3)
         on.daemon.stop.set()
         await trio.testing.wait_all_tasks_blocked()
-        late = await ask_platform(on.platform, "q2", "consulta")
-        assert (late.outcome, late.headers["connection"]) == ("served", "close")
-        hold.set()
+        during_shutdown = await ask_platform(on.platform, "q2", "consulta")
+        assert (during_shutdown.outcome, during_shutdown.headers["connection"]) == ("served", "close")
+        resume_stream.set()
         assert (await call.receive()).whole
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_bodies_beyond_the_memory_kept_for_them_are_refused() -> None:
+def test_a_body_beyond_the_memory_reserved_for_bodies_is_rejected() -> None:
     async def story(on: Stage) -> None:
         large = await ask_platform(on.platform, "q1", "consulta", text="x" * 200_000)
         assert (large.outcome, large.status) == ("refused", 503)
@@ -259,23 +262,23 @@
     play(*pair(), story=story, memory_mb=1.0)
 
 
-def test_a_module_that_raises_ends_neither_the_program_nor_the_one_answer() -> None:
+def test_after_an_error_in_the_policy_the_request_is_answered_and_the_next_served() -> None:
     async def story(on: Stage) -> None:
-        decider = on.daemon.core.policy
-        decide = on.daemon.core.policy.handle
+        policy = on.daemon.core.policy
+        handle = on.daemon.core.policy.handle
 
-        def broken(now: float, events: list[Event]) -> list[Action]:
-            decider.handle = decide  # type: ignore[method-assign]
+        def fail_once(now: float, events: list[Event]) -> list[Action]:
+            policy.handle = handle  # type: ignore[method-assign]
             raise ZeroDivisionError
 
-        decider.handle = broken  # type: ignore[method-assign]
+        policy.handle = fail_once  # type: ignore[method-assign]
         assert (await ask_platform(on.platform, "q1", "orden", Req_Deadline="200m")).status == 500
         assert (await ask_platform(on.platform, "q2", "orden")).outcome == "served"
 
     play(*pair(), story=story)
 
 
-def test_a_failure_over_the_end_of_one_attempt_ends_no_other_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_while_one_attempt_ends_fails_no_other_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def story(on: Stage) -> None:
         finish = on.daemon.core.attempt_finished
 
@@ -285,33 +288,35 @@
             finish(now, attempt, *outcome)
 
         monkeypatch.setattr(on.daemon.core, "attempt_finished", fail_for_one)
-        answers: list[str] = []
+        outcomes: list[str] = []
 
-        async def ask(request: str, wait_ms: str) -> None:
-            answer = await ask_platform(on.platform, request, "consulta", Req_Deadline=wait_ms)
-            answers.append(answer.outcome)
+        async def ask(request_id: str, deadline: str) -> None:
+            answer = await ask_platform(on.platform, request_id, "consulta", Req_Deadline=deadline)
+            outcomes.append(answer.outcome)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask, "q1", "400m")
             nursery.start_soon(ask, "q2", "4000m")
-        assert sorted(answers) in (["failed", "served"], ["refused", "served"])
+        assert sorted(outcomes) in (["failed", "served"], ["refused", "served"])
 
     play(*pair(), story=story)
 
 
-def test_an_entry_of_an_unknown_kind_does_not_stop_the_list() -> None:
-    reader, writer = pair()
+def test_an_entry_of_an_unknown_kind_does_not_invalidate_the_list() -> None:
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        on.discovery.publish({**writer.row(), "id": "x", "kind": "new"}, writer.row(state="leaving"))
+        on.discovery.publish(
+            {**decode_host.row(), "id": "x", "kind": "new"}, decode_host.row(state="leaving")
+        )
         while "w" not in on.daemon.core.draining:
             await trio.sleep(0.001)
         assert "x" not in on.daemon.core.endpoints
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_watch_that_falls_silent_is_opened_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 0.05)
 
     async def story(on: Stage) -> None:
@@ -321,29 +326,31 @@
     play(*pair(), story=story)
 
 
-def test_one_of_200_opens_a_silent_watch_again_within_a_drains_grace(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its agent's news count as told, watch or not; it waited 2.5 to 5 s, as one that was turned away."""
+def test_one_of_200_dispatchers_reopens_a_silent_watch_within_the_grace_time_of_a_drain(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Regression: it waited 2.5 to 5 s, as after a rejection, though drains count as announced meanwhile."""
     monkeypatch.setattr(watch, "STALL_TIMEOUT_S", 0.05)
 
     async def story(on: Stage) -> None:
-        for calls in range(2, 7):
-            began = trio.current_time()
-            while len(on.discovery.request_targets) < calls:
+        for count in range(2, 7):
+            started_at = trio.current_time()
+            while len(on.discovery.request_targets) < count:
                 await trio.sleep(0.001)
-            assert trio.current_time() - began < 0.05 + 0.25
+            assert trio.current_time() - started_at < 0.05 + 0.25
 
     play(*pair(), story=story, settings={"fleet_size": 200})
 
 
-def test_only_peers_are_heard() -> None:
+def test_only_datagrams_of_peers_are_accepted() -> None:
     async def story(on: Stage) -> None:
         core = on.daemon.core
-        heard = trio.Event()
-        told: list[GossipReceived] = []
+        has_received = trio.Event()
+        received: list[GossipReceived] = []
 
         def note(message: GossipReceived) -> None:
-            told.append(message)
-            heard.set()
+            received.append(message)
+            has_received.set()
 
         core.gossip_received = note  # type: ignore[method-assign]
         peer, stranger = (trio.socket.socket(type=trio.socket.SOCK_DGRAM) for _ in range(2))
@@ -355,73 +362,75 @@
             sock.close()
             transport = GossipTransport(at, [at, peer.getsockname()], peer.getsockname())
             on.nursery.start_soon(transport.run, DatagramDemultiplexer(core).receive)
-            while not heard.is_set():
+            while not has_received.is_set():
                 await stranger.sendto(b"no", at)
                 await peer.sendto(b"hi", at)
                 with trio.move_on_after(0.01):
-                    await heard.wait()
+                    await has_received.wait()
             transport.broadcast(b"ho")
             with trio.fail_after(2.0):
                 assert await peer.recvfrom(16) == (b"ho", at)
-        assert told[0] == GossipReceived(1, b"hi")
+        assert received[0] == GossipReceived(1, b"hi")
 
     play(*pair(), story=story)
 
 
-def test_a_place_is_asked_for_after_the_read_is_written() -> None:
-    """Else the writer knows of no read and says 204 (13% of the calls on a calm day)."""
-    reader, writer = pair()
+def test_a_reservation_is_sent_after_the_prefill_request() -> None:
+    """Regression: the decode host did not know the prefill yet and responded 204 (13% of calls)."""
+    prefill_host, decode_host = pair()
     order: list[str] = []
 
     def note(method: str, _: str) -> int:
         order.append(method)
         return 200
 
-    writer.on_call = note
+    decode_host.on_call = note
 
     async def story(on: Stage) -> None:
         await ask_platform(on.platform, "q1", "consulta")  # opens the connections
-        exchange = on.daemon.upstream_driver.pool.open
+        open_connection = on.daemon.upstream_driver.pool.open
 
-        async def slow(server: str, timeout_s: float, *, for_release: bool = False) -> UpstreamConnection:
+        async def open_slowly(
+            server: str, timeout_s: float, *, for_release: bool = False
+        ) -> UpstreamConnection:
             if server == "r":
                 await trio.testing.wait_all_tasks_blocked()
-                order.append("read")
-            return await exchange(server, timeout_s, for_release=for_release)
+                order.append("prefill")
+            return await open_connection(server, timeout_s, for_release=for_release)
 
-        on.daemon.upstream_driver.pool.open = slow  # type: ignore[method-assign]
+        on.daemon.upstream_driver.pool.open = open_slowly  # type: ignore[method-assign]
         order.clear()
         await ask_platform(on.platform, "q2", "consulta")
-        assert order == ["read", "POST"]
+        assert order == ["prefill", "POST"]
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_host_that_never_comes_up_has_run_nothing() -> None:
-    reader, writer = pair()
+def test_a_request_to_a_host_that_never_accepts_is_rejected_as_not_run() -> None:
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         with contextlib.ExitStack() as stack:
-            full = stack.enter_context(socket.socket())
-            full.bind(("127.0.0.1", 0))
-            full.listen(0)
-            for _ in range(3):  # more than its queue holds: a further connection gets no answer
+            listener = stack.enter_context(socket.socket())
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(0)
+            for _ in range(3):  # more than its backlog, so that further connections hang
                 filler = stack.enter_context(socket.socket())
                 filler.setblocking(False)
-                filler.connect_ex(full.getsockname())
-            on.daemon.upstream_driver.pool.hosts["w"].address = full.getsockname()
+                filler.connect_ex(listener.getsockname())
+            on.daemon.upstream_driver.pool.hosts["w"].address = listener.getsockname()
             assert (await ask_platform(on.platform, "q1", "orden")).outcome == "refused"
-            assert writer.received_ids == []
+            assert decode_host.received_ids == []
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-class Odd(Discovery):
-    """Says the given lines on its first watch, then what it knows."""
+class FaultyDiscovery(Discovery):
+    """Sends invalid data on its first watch and the list afterwards, or always an error status."""
 
-    def __init__(self, *rows: dict[str, object], says: bytes = b"", status: int = 200) -> None:
+    def __init__(self, *rows: dict[str, object], first_data: bytes = b"", status: int = 200) -> None:
         super().__init__(*rows)
-        self.says = says
+        self.first_data = first_data
         self.status = status
 
     async def handle(self, inbound: HttpRequest, connection: PeerConnection) -> None:
@@ -429,79 +438,77 @@
             self.request_targets.append(inbound.target)
             await connection.answer(self.status, [])
             return
-        if not self.says:
+        if not self.first_data:
             await super().handle(inbound, connection)
             return
         self.request_targets.append(inbound.target)
         await connection.start(200, [])
-        await connection.data(self.says)
-        self.says = b""
+        await connection.data(self.first_data)
+        self.first_data = b""
         await connection.until_closed()
 
 
 GONE = b'{"id":"w","addr":"","kind":"decode","state":"left"}'
-ODD = {
-    "noise": (b"what\n", "watch_closed"),
-    "cut": (b'{"version":9,"servers":[{"id"\n', "watch_closed"),
-    "older": (b'{"version":4,"full":false,"servers":[%b]}\n' % GONE, "endpoint_list_stale"),
-    "an unknown state": (
+INVALID_DATA = {
+    "invalid JSON": (b"what\n", "watch_closed"),
+    "truncated JSON": (b'{"version":9,"servers":[{"id"\n', "watch_closed"),
+    "older version": (b'{"version":4,"full":false,"servers":[%b]}\n' % GONE, "endpoint_list_stale"),
+    "unknown state": (
         b'{"version":9,"servers":[{"id":"w","kind":"decode","state":"odd"}]}\n',
         "endpoint_list_updated",
     ),
-    "a host that nobody knows": (
+    "unknown host": (
         b'{"version":9,"servers":[{"id":"x","state":"left"}]}\n',
         "endpoint_list_updated",
     ),
 }
 
 
-@pytest.mark.parametrize("name", ODD)
-def test_a_list_that_can_not_be_right_changes_nothing_and_leaves_a_line(
-    name: str, capfd: pytest.CaptureFixture[str]
-) -> None:
-    says, event = ODD[name]
-    reader, writer = pair()
+@pytest.mark.parametrize("name", INVALID_DATA)
+def test_an_invalid_list_changes_nothing_and_is_logged(name: str, capfd: pytest.CaptureFixture[str]) -> None:
+    data, event = INVALID_DATA[name]
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
         capfd.readouterr()
-        discovery = Odd(reader.row(), writer.row(), says=says)
+        discovery = FaultyDiscovery(prefill_host.row(), decode_host.row(), first_data=data)
         discovery.version = 7
         await on.nursery.start(discovery.serve)
-        watch_on = on.daemon.watch
-        assert watch_on is not None
-        watch_on.version = 7
-        watch_on.address = parse_address(discovery.address)
+        current_watch = on.daemon.watch
+        assert current_watch is not None
+        current_watch.version = 7
+        current_watch.address = parse_address(discovery.address)
         on.discovery.hang_up()
-        heard = ""
-        while f'"event":"{event}"' not in heard:
-            heard += capfd.readouterr().out
+        output = ""
+        while f'"event":"{event}"' not in output:
+            output += capfd.readouterr().out
             await trio.sleep(0.001)
         assert set(on.daemon.core.endpoints) == {"r", "w"}
         assert (await ask_platform(on.platform, "q1", "orden")).outcome == "served"
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_start_while_discovery_fails_serves_from_what_the_configuration_knows() -> None:
-    reader, writer = pair()
+def test_a_dispatcher_that_starts_while_discovery_fails_serves_from_the_configured_list() -> None:
+    prefill_host, decode_host = pair()
 
     async def story(on: Stage) -> None:
-        discovery = Odd(status=503)
+        discovery = FaultyDiscovery(status=503)
         await on.nursery.start(discovery.serve)
-        again = Daemon(on.config(discovery=discovery.address))
-        serving = await on.nursery.start(again.serve)
-        while len(discovery.request_targets) < 2:  # it goes on asking
-            answer = await ask_platform(serving.platform, f"q{len(reader.received_ids)}", "consulta")
+        second = Daemon(on.config(discovery=discovery.address))
+        serving = await on.nursery.start(second.serve)
+        while len(discovery.request_targets) < 2:  # it keeps retrying
+            answer = await ask_platform(serving.platform, f"q{len(prefill_host.received_ids)}", "consulta")
             assert answer.outcome == "served"
-        assert set(again.core.endpoints) == {"r", "w"}
+        assert set(second.core.endpoints) == {"r", "w"}
 
-    play(reader, writer, story=story)
+    play(prefill_host, decode_host, story=story)
 
 
-def test_a_peers_address_that_is_taken_is_tried_again_and_stops_nobody(
+def test_an_occupied_gossip_address_is_retried_and_does_not_prevent_the_start(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """A new version beside one that does not share the address would not have started."""
+    """Regression: a new process did not start beside one that does not share its address."""
     monkeypatch.setattr(gossip, "BIND_RETRY_S", 0.01)
 
     async def story(on: Stage) -> None:
