--- a/violetstack/simulation/faults.py
+++ b/violetstack/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults in the lease protocol that a check has to find, injected by replacing a function."""
+"""Faults in the lease protocol that the checks must find; each is injected by replacing a function."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
 
 @contextmanager
 def injected(name: str) -> Iterator[None]:
-    """Inject the fault of that name for the time of the context."""
+    """Inject the fault of this name while the context is active."""
     fault = FAULTS[name]
     real = getattr(fault.owner, fault.attribute)
     setattr(fault.owner, fault.attribute, fault.replace(real))
--- a/violetstack/simulation/lease_cluster.py
+++ b/violetstack/simulation/lease_cluster.py
@@ -1,4 +1,4 @@
-"""A tier of lease nodes in virtual time, under faults, with a check of every action under the lease."""
+"""A cluster of lease nodes in virtual time, under faults, with a check of every action under the lease."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 DELAYED_SHARE = 0.01
 DELAYED_MS = 5_000.0
 LATENCY_MS = (2.0, 33.0)
-HOLDER_FAULT_SHARE = 0.4  # of the faults strike the holder
+HOLDER_FAULT_SHARE = 0.4  # of the faults affect the holder
 TWO_WAY_SHARE = 0.5  # of the partitions
 ALL_ACCEPTORS_SHARE = 0.2  # of the fifth of faults that may restart all acceptors
 PAUSED_ACTION_SHARE = 0.02  # of the actions have a pause between check and action
@@ -41,13 +41,13 @@
         number: Its dispatcher's number.
         incarnation: How often that dispatcher was started, this time included.
         paused_until: Until when it neither runs nor receives; in the cluster's time.
-        pending_action: Token and node id of an action that was checked and not yet done.
+        pending_action: Token and node id of an action that was checked and is not yet performed.
         node: Its lease node.
         proposer: The node's proposer for the lease.
     """
 
     def __init__(self, cluster: Cluster, number: int, incarnation: int, *, restarted: bool) -> None:
-        """Start a process that wants the lease."""
+        """Start a process that tries to acquire the lease."""
         self.cluster = cluster
         self.number = number
         self.incarnation = incarnation
@@ -77,7 +77,7 @@
 
 
 class Cluster:
-    """`size` dispatchers that all want one lease. Times are milliseconds of the simulation.
+    """A cluster of `size` dispatchers that compete for one lease. Times are milliseconds of the simulation.
 
     Datagrams are lost, duplicated and delayed. With faults, a process is paused, restarted, partitioned or
     resigns every 1.5 s on average, and sometimes all acceptors restart at once.
@@ -126,11 +126,11 @@
         return next((process for process in self.processes if process.holds()), None)
 
     def pause(self, number: int, until: float) -> None:
-        """Stop a process up to a time; what it would receive meanwhile is lost."""
+        """Stop a process up to a time; datagrams sent to it meanwhile are lost."""
         self.processes[number].paused_until = until
 
     def restart(self, number: int) -> None:
-        """Replace a process by a new one that remembers nothing."""
+        """Replace a process by a new one without any state."""
         incarnation = self.processes[number].incarnation + 1
         self.processes[number] = Process(self, number, incarnation, restarted=True)
 
@@ -235,7 +235,7 @@
         self._schedule(self._rng.uniform(500.0, 5_000.0), heal)
 
     def _restart_all_acceptors(self) -> None:
-        """Only the receivers of actions know the newest token after this."""
+        """Restart all acceptors; only the receivers of actions know the newest token after this."""
         self._all_acceptors_restarted = True
         for number in acceptor_numbers(self.size):
             self.restart(number)
--- a/violetstack/simulation/model_checker.py
+++ b/violetstack/simulation/model_checker.py
@@ -2,7 +2,7 @@
 
 There are three acceptors and a few proposers, usually two. A message that was sent may arrive at any later
 moment, any number of times or never, which covers loss, delay, duplication and reordering. A proposer may
-start a round or give it up at any moment; time advances in a few steps between which leases expire; an
+start a round or abandon it at any moment; time advances in a few steps between which leases expire; an
 acceptor may restart. The proposers' clocks run 1% slow and the acceptors' 1% fast, the worst case for a
 holder.
 
@@ -58,7 +58,7 @@
 
 
 class AcceptorStep(NamedTuple):
-    """What an acceptor is after a message, and what it answers."""
+    """An acceptor's state after a message, and its answers."""
 
     snapshot: AcceptorSnapshot
     answers: list[Message]
@@ -78,7 +78,7 @@
     Attributes:
         states: How many states were reached.
         complete: Whether these are all within the bounds.
-        violation: What was violated; empty if nothing was.
+        violation: The violated rule; empty if none was.
         trace: The events that lead to the violation.
     """
 
@@ -95,7 +95,7 @@
     """
 
     def __init__(self, bounds: Bounds) -> None:
-        """Start at the state in which nothing has happened."""
+        """Start with the initial state, in which no event has happened."""
         self._bounds = bounds
         node_ids = [node_id_of(number, 1) for number in range(len(bounds.rounds))]
         self._proposers = [new_proposer(node_id) for node_id in node_ids]
@@ -156,7 +156,7 @@
             yield from self._proposer_transitions(state, number)
         for index, snapshot in enumerate(state.acceptors):
             if snapshot in state.acceptors[:index]:
-                continue  # interchangeable with one that was looked at
+                continue  # interchangeable with one that was examined
             yield from self._deliveries(state, index)
             yield from self._restarts(state, index)
             yield from self._fence_replies(state, index)
--- a/violetstack/simulation/model_state.py
+++ b/violetstack/simulation/model_state.py
@@ -1,7 +1,7 @@
 """States of the lease model: snapshots of the real acceptors and proposers, and back.
 
-Snapshots are immutable and hashable. They leave out what can no longer make a difference, so that fewer
-states are distinct.
+Snapshots are immutable and hashable. They leave out everything that can no longer make a difference, so that
+fewer states are distinct.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
 
 
 class State(NamedTuple):
-    """A state of the whole model; `time` is an index into TIMES_MS, `sent` what proposers ever sent."""
+    """A state of the whole model; `time` is an index into TIMES_MS, `sent` has all messages ever sent."""
 
     time: int
     acceptors: tuple[AcceptorSnapshot, ...]
@@ -144,7 +144,7 @@
 
 
 def proposer_snapshot(proposer: Proposer, rounds: int) -> ProposerSnapshot:
-    """Read a proposer; what has no meaning while it is idle is left out, so that more states are equal."""
+    """Read a proposer; fields that mean nothing while it is idle are left out, so that more states are equal."""
     active = proposer.round.phase is not Phase.IDLE
     return ProposerSnapshot(
         phase=proposer.round.phase,
