--- a/violetstack/simulation/model_state.py
+++ b/violetstack/simulation/model_state.py
@@ -144,7 +144,7 @@
 
 
 def proposer_snapshot(proposer: Proposer, rounds: int) -> ProposerSnapshot:
-    """Read a proposer; fields that mean nothing while it is idle are left out, so that more states are equal."""
+    """Read a proposer; fields without meaning while it is idle are left out, so more states are equal."""
     active = proposer.round.phase is not Phase.IDLE
     return ProposerSnapshot(
         phase=proposer.round.phase,
