--- a/tests/test_attempt_deadlines.py
+++ b/tests/test_attempt_deadlines.py
@@ -154,7 +154,7 @@
 ) -> None:
     """Guards against margins and timeouts of a fixed length that exceed the remaining time."""
     hanging = Act(silent=True)
-    prefill_host, decode_host = pair(*[hanging] * 5, reads=() if role == "w" else (hanging,) * 5)
+    prefill_host, decode_host = pair(*[hanging] * 5, prefill_acts=() if role == "w" else (hanging,) * 5)
     spec = {
         **SETTINGS["classes"][1],
         **SHORT_OBJECTIVES,
--- a/tests/test_bad_hosts.py
+++ b/tests/test_bad_hosts.py
@@ -79,7 +79,7 @@
     ids=["1xx", "numbers", "noise", "second response"],
 )
 def test_surplus_data_around_a_response_does_no_harm(act: Act) -> None:
-    prefill_host, decode_host = pair(act, act, reads=(act, act))
+    prefill_host, decode_host = pair(act, act, prefill_acts=(act, act))
 
     async def story(on: Stage) -> None:
         for n in range(4):
@@ -101,7 +101,7 @@
 
 
 def test_a_request_rejected_as_invalid_by_a_host_is_not_retried() -> None:
-    prefill_host, decode_host = pair(reads=(Act(status=400),))
+    prefill_host, decode_host = pair(prefill_acts=(Act(status=400),))
 
     async def story(on: Stage) -> None:
         assert (await ask_platform(on.platform, "q1", "consulta")).status == 500
--- a/tests/test_chat.py
+++ b/tests/test_chat.py
@@ -118,7 +118,7 @@
         assert answer.outcome == "refused"
         assert trio.current_time() - started_at < 2.0
 
-    play(*pair(reads=(SILENT,)), story=story)
+    play(*pair(prefill_acts=(SILENT,)), story=story)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -198,7 +198,7 @@
 
 def test_the_disconnect_of_a_client_that_pipelined_much_is_detected() -> None:
     """After 64 KiB of pipelined bytes nothing more was read, so the disconnect was not detected."""
-    prefill_host, decode_host = pair(reads=(SILENT,))
+    prefill_host, decode_host = pair(prefill_acts=(SILENT,))
 
     async def story(on: Stage) -> None:
         call = await send_request(on, "q1")
@@ -212,7 +212,7 @@
 
 def test_endless_pipelined_input_is_bounded_and_the_request_is_answered() -> None:
     gate = trio.Event()
-    prefill_host, decode_host = pair(reads=(Act(before=gate),))
+    prefill_host, decode_host = pair(prefill_acts=(Act(before=gate),))
 
     async def story(on: Stage) -> None:
         call = await send_request(on, "q1")
@@ -301,7 +301,7 @@
 ) -> None:
     """It was forwarded after its client had disconnected."""
     gate = trio.Event()
-    prefill_host, decode_host = pair(reads=(Act(before=gate),))
+    prefill_host, decode_host = pair(prefill_acts=(Act(before=gate),))
 
     async def story(on: Stage) -> None:
         call = await connect(on.chat)
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -348,7 +348,7 @@
 
 def test_state_of_a_failed_prefill_is_released_while_the_next_attempt_connects() -> None:
     """The decision to start the next attempt cancelled the release, but that attempt was never written."""
-    prefill_host, decode_host = pair(reads=(Act(events=0, breaks=True),))
+    prefill_host, decode_host = pair(prefill_acts=(Act(events=0, breaks=True),))
     other = ModelHost("r2", "prefill", Act(events=0, breaks=True))
 
     async def story(on: Stage) -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -90,7 +90,7 @@
 def test_after_failures_the_counters_match_the_connections_open_at_hosts() -> None:
     """After mixed faults the counts of attempts, reservations and connections must match the actual ones."""
     acts = [*MALFORMED_RESPONSES.values(), *MALFORMED_STREAMS.values(), CUT, ERROR, DECLINE, SILENT]
-    prefill_host, decode_host = pair(*acts, reads=(SILENT, ERROR, DECLINE))
+    prefill_host, decode_host = pair(*acts, prefill_acts=(SILENT, ERROR, DECLINE))
 
     async def story(on: Stage) -> None:
         daemon = on.daemon
--- a/tests/test_requests_are_answered.py
+++ b/tests/test_requests_are_answered.py
@@ -230,7 +230,7 @@
 def test_a_request_whose_client_half_closes_while_waiting_is_answered_once(
     kind: str, at_decode_host: bool, status: int
 ) -> None:
-    prefill_host, decode_host = pair(SILENT) if at_decode_host else pair(reads=(SILENT,))
+    prefill_host, decode_host = pair(SILENT) if at_decode_host else pair(prefill_acts=(SILENT,))
     host = decode_host if at_decode_host else prefill_host
 
     async def story(on: Stage) -> None:
@@ -251,7 +251,7 @@
 def test_a_request_read_before_the_connections_end_is_announced_is_answered() -> None:
     """The previous answer announced the end during a shutdown, and the request was dropped."""
     gate = trio.Event()
-    prefill_host, decode_host = pair(reads=(Act(before=gate),))
+    prefill_host, decode_host = pair(prefill_acts=(Act(before=gate),))
 
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
@@ -330,7 +330,7 @@
 def test_large_requests_behind_another_are_all_answered() -> None:
     """Bytes beyond 64 KiB were dropped, among them complete requests."""
     gate = trio.Event()
-    prefill_host, decode_host = pair(reads=(Act(before=gate),))
+    prefill_host, decode_host = pair(prefill_acts=(Act(before=gate),))
     names = [f"q{n}" for n in range(8)]
 
     async def story(on: Stage) -> None:
@@ -384,7 +384,7 @@
 ) -> None:
     monkeypatch.setattr(connection_reader, "MAX_UNREAD_BYTES", 100_000)
     gate = trio.Event()
-    prefill_host, decode_host = pair(reads=(Act(before=gate),))
+    prefill_host, decode_host = pair(prefill_acts=(Act(before=gate),))
 
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
@@ -619,7 +619,7 @@
 
 def test_the_waiting_time_of_a_pipelined_request_is_reported() -> None:
     gate = trio.Event()
-    prefill_host, decode_host = pair(reads=(Act(before=gate),))
+    prefill_host, decode_host = pair(prefill_acts=(Act(before=gate),))
 
     async def story(on: Stage) -> None:
         times = WaitedTimes(on)
@@ -749,7 +749,7 @@
 def test_requests_sent_together_under_tls_are_all_answered(tmp_path: Path) -> None:
     """The end of the first answer cancels a read; bytes that TLS has already read must not be lost."""
     gate = trio.Event()
-    prefill_host, decode_host = pair(reads=(Act(before=gate),))
+    prefill_host, decode_host = pair(prefill_acts=(Act(before=gate),))
     body = chat_body("giro-consulta")
     headers = [*chat_headers(), ("Content-Length", str(len(body)))]
     head = "\r\n".join([f"POST {PATH} HTTP/1.1", "Host: x", *(f"{k}: {v}" for k, v in headers), "", ""])
@@ -785,7 +785,7 @@
 @pytest.mark.parametrize("unread_bytes", [0, 300_000, 3_000_000])
 @pytest.mark.parametrize("close_kind", ["close", "reset"])
 def test_a_disconnect_is_detected_within_100_ms(unread_bytes: int, close_kind: str) -> None:
-    prefill_host, decode_host = pair(reads=(SILENT,))
+    prefill_host, decode_host = pair(prefill_acts=(SILENT,))
 
     async def story(on: Stage) -> None:
         client = await RawClient.connect(on.platform)
@@ -844,7 +844,7 @@
 ) -> None:
     """The socket is checked once more after the pause that follows the failure."""
     gate = trio.Event()
-    prefill_host, decode_host = pair(reads=(Act(before=gate),))
+    prefill_host, decode_host = pair(prefill_acts=(Act(before=gate),))
 
     async def story(on: Stage) -> None:
         accept = trio.SocketListener.accept
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -39,9 +39,9 @@
     trio.run(main)
 
 
-def pair(*acts: Act, reads: tuple[Act, ...] = ()) -> tuple[ModelHost, ModelHost]:
-    """Return a prefill host that follows the script `reads`, and a decode host that follows `acts`."""
-    return ModelHost("r", "prefill", *reads), ModelHost("w", "decode", *acts)
+def pair(*acts: Act, prefill_acts: tuple[Act, ...] = ()) -> tuple[ModelHost, ModelHost]:
+    """Return a prefill host that follows the script `prefill_acts`, and a decode host that follows `acts`."""
+    return ModelHost("r", "prefill", *prefill_acts), ModelHost("w", "decode", *acts)
 
 
 def test_a_request_is_prefilled_and_decoded_and_its_events_are_forwarded_unchanged() -> None:
@@ -96,7 +96,7 @@
 
 def test_a_cancelled_prefill_is_closed_before_the_rejection_is_sent() -> None:
     """Regression: an order was rejected while one of its attempts was still at a host."""
-    prefill_host, decode_host = pair(reads=(SILENT,))
+    prefill_host, decode_host = pair(prefill_acts=(SILENT,))
 
     async def story(on: Stage) -> None:
         core = on.daemon.core
@@ -175,7 +175,7 @@
 
 
 def test_a_release_goes_to_another_host_when_the_first_does_not_answer() -> None:
-    prefill_host, decode_host = pair(reads=(SILENT,))
+    prefill_host, decode_host = pair(prefill_acts=(SILENT,))
 
     async def story(on: Stage) -> None:
         answered = trio.Event()
