--- a/violetstack/rehearsal/fleet/campaign_processes.py
+++ b/violetstack/rehearsal/fleet/campaign_processes.py
@@ -56,6 +56,7 @@
             await self.await_ready(dispatcher)
 
     def end_all(self) -> None:
+        """Kills all dispatchers, and records those that had ended on their own."""
         for dispatcher in self._state.dispatchers:
             self._record_crash(dispatcher)
             dispatcher.program.end()
@@ -67,6 +68,7 @@
         dispatcher.program.start(self._state.now(), self._state.seed * 1000 + self._starts)
 
     async def await_ready(self, dispatcher: Dispatcher) -> None:
+        """Returns once clients may connect; records a crash if the dispatcher is not ready in time."""
         start_deadline = self._state.now() + START_TIMEOUT_S
         while not dispatcher.accepting:
             if self._state.now() > start_deadline:
@@ -102,7 +104,7 @@
     async def kill(self, dispatcher: Dispatcher, down_s: float) -> None:
         """Sends SIGKILL, and starts the process again after `down_s` seconds."""
         self._record_crash(dispatcher)
-        self._kill(dispatcher, since=math.inf)
+        self._kill(dispatcher, sent_until=math.inf)
         await trio.sleep(down_s)
         self.start(dispatcher)
         await self.await_ready(dispatcher)
@@ -120,7 +122,7 @@
             dispatcher.accepting = False
             while program.process is not None and program.process.poll() is None:
                 await trio.sleep(POLL_INTERVAL_S)
-        self._kill(dispatcher, since=signalled_at + LATE_REQUEST_S)
+        self._kill(dispatcher, sent_until=signalled_at + LATE_REQUEST_S)
         self.start(dispatcher)
         await self.await_ready(dispatcher)
 
@@ -139,11 +141,11 @@
         program.send(signal.SIGCONT)
         self._state.excuse_holds(program.number, self._state.now() + RESUME_GRACE_S)
 
-    def _kill(self, dispatcher: Dispatcher, since: float) -> None:
-        """Sends SIGKILL, and excuses unanswered requests that were sent by `since` and are not overdue.
+    def _kill(self, dispatcher: Dispatcher, sent_until: float) -> None:
+        """Sends SIGKILL, and excuses unanswered requests that were sent by `sent_until` and are not overdue.
 
-        So are requests that wait for an earlier response on their connection, and those that arrived while
-        the process was stopped.
+        Also excused are requests that wait for an earlier answer on their connection, and requests whose
+        process was stopped.
         """
         now = self._state.now()
         dispatcher.accepting = False
@@ -158,7 +160,7 @@
                 exchange.excused = "killed behind a stream"
                 continue
             begun_or_in_time = exchange.committed_at is not None or now < exchange.latest_answer_at
-            if sent_at is None or (sent_at <= since and begun_or_in_time):
+            if sent_at is None or (sent_at <= sent_until and begun_or_in_time):
                 exchange.excused = "killed"
             elif exchange.paused_until >= now:
                 exchange.excused = "killed while stopped"
--- a/violetstack/rehearsal/fleet/campaign_result.py
+++ b/violetstack/rehearsal/fleet/campaign_result.py
@@ -119,7 +119,7 @@
     def _is_excused(self, line: dict[str, Any]) -> bool:
         """Returns whether the line is about a hold that the dispatcher was unable to release.
 
-        The socket audit checks these holds.
+        The audit judges whether it was held for too long after the excused time.
         """
         return line.get("rule") == INVARIANT_HELD and line["id"] in self._state.evidence.holds.excused_until
 
--- a/violetstack/rehearsal/fleet/soak.py
+++ b/violetstack/rehearsal/fleet/soak.py
@@ -94,10 +94,10 @@
             faults.close()
         return CaseReport(self._state).result(self.events)
 
-    async def _run_load_and_faults(self, peers: trio.Nursery) -> None:
+    async def _run_load_and_faults(self, peer_nursery: trio.Nursery) -> None:
         async with trio.open_nursery() as case_nursery:
             for event in self.events:
-                case_nursery.start_soon(self._environment.inject, event, peers)
+                case_nursery.start_soon(self._environment.inject, event, peer_nursery)
             case_nursery.start_soon(self._clients.send_requests, case_nursery, self._plan.duration_s)
         await trio.sleep(SETTLE_TIME_S)
 
--- a/violetstack/rehearsal/fleet/soak_environment.py
+++ b/violetstack/rehearsal/fleet/soak_environment.py
@@ -45,7 +45,7 @@
     programs = []
     try:
         for _ in range(max(1, len(os.sched_getaffinity(0)) // 2)):
-            programs.append(_start_busy_program())  # noqa: PERF401 - each has to be ended even if a later start fails
+            programs.append(_start_busy_program())  # noqa: PERF401 - each is ended even if a later start fails
         await trio.sleep(duration_s)
     finally:
         for program in programs:
@@ -108,14 +108,14 @@
         self._pipes = pipes
         self._restart_locks: dict[int, trio.Lock] = defaultdict(trio.Lock)
 
-    async def inject(self, event: SoakEvent, peers: trio.Nursery) -> None:
+    async def inject(self, event: SoakEvent, peer_nursery: trio.Nursery) -> None:
         """Waits for the event's time, injects its fault and records when it was in force."""
         await trio.sleep(max(0.0, event.at - self._state.now()))
         if isinstance(event.fault, EnvironmentFault):
             await self._inject_campaign_fault(event, event.fault)
             return
         began_at = self._state.now()
-        await self._inject(event, event.fault, peers)
+        await self._inject(event, event.fault, peer_nursery)
         self._state.fault_spans.append(FaultSpan(event.fault, event.target, began_at, self._state.now()))
 
     async def _inject_campaign_fault(self, event: SoakEvent, fault: EnvironmentFault) -> None:
@@ -126,7 +126,7 @@
         async with self._restart_locks[event.target]:
             await self._campaign.inject(campaign_event)
 
-    async def _inject(self, event: SoakEvent, fault: SoakFault, peers: trio.Nursery) -> None:
+    async def _inject(self, event: SoakEvent, fault: SoakFault, peer_nursery: trio.Nursery) -> None:
         match fault:
             case SoakFault.HOST_RESETS_CONNECTIONS:
                 self._state.hosts[event.target].hang_up()
@@ -135,7 +135,7 @@
             case SoakFault.HOST_FREEZES_AND_BEGINS | SoakFault.HOST_FREEZES_AND_RESETS:
                 resets = fault is SoakFault.HOST_FREEZES_AND_RESETS
                 await self._freeze([self._state.hosts[event.target]], event.duration_s, resets=resets)
-            case SoakFault.HOST_HALF_OF_ALL_FREEZE:
+            case SoakFault.HOST_GROUP_FREEZES:
                 hosts = self._state.hosts[event.target % 2 :: 2]
                 await self._freeze(hosts, event.duration_s, resets=bool(event.target % 2))
             case SoakFault.HOST_BECOMES_UNREACHABLE:
@@ -153,7 +153,7 @@
             case SoakFault.RELOADS:
                 await self._reload(self._state.dispatchers[event.target])
             case SoakFault.DISCOVERY_MOVES:
-                await self._move_discovery(self._state.dispatchers[event.target], peers)
+                await self._move_discovery(self._state.dispatchers[event.target], peer_nursery)
             case SoakFault.CLOCK_FORWARD | SoakFault.CLOCK_BACK | SoakFault.CLOCK_STEP_AND_RESTART:
                 await self._step_clock(event, fault)
             case _:
@@ -220,12 +220,12 @@
             await trio.sleep(RELOAD_INTERVAL_S)
         await trio.sleep(RELOAD_TIME_S)
 
-    async def _move_discovery(self, dispatcher: Dispatcher, peers: trio.Nursery) -> None:
+    async def _move_discovery(self, dispatcher: Dispatcher, peer_nursery: trio.Nursery) -> None:
         """Moves the endpoint list to a new agent, names it in the configuration, and sends SIGHUP."""
         program = dispatcher.program
         agent = Agent(program.number, self._state.endpoint_list(), {}, self._state.now)
         agent.begin_at(self._state.agents[program.number].version)
-        await peers.start(agent.serve)
+        await peer_nursery.start(agent.serve)
         self._state.move_agent(program.number, agent)
         program.node_config["discovery"] = agent.address
         async with self._restart_locks[program.number]:
--- a/violetstack/rehearsal/fleet/soak_faults.py
+++ b/violetstack/rehearsal/fleet/soak_faults.py
@@ -43,7 +43,7 @@
     HOST_FREEZES_AND_BEGINS = "host freezes, then begins what has come"
     HOST_FREEZES_AND_RESETS = "host freezes, then resets"
     HOST_BECOMES_UNREACHABLE = "host vanishes and comes back"
-    HOST_HALF_OF_ALL_FREEZE = "half of the hosts freeze"
+    HOST_GROUP_FREEZES = "half of the hosts freeze"
 
 
 InjectedFault = EnvironmentFault | SoakFault
@@ -73,7 +73,7 @@
     SoakFault.HOST_FREEZES_AND_BEGINS: 2.0,
     SoakFault.HOST_FREEZES_AND_RESETS: 2.0,
     SoakFault.HOST_BECOMES_UNREACHABLE: 2.5,
-    SoakFault.HOST_HALF_OF_ALL_FREEZE: 1.5,
+    SoakFault.HOST_GROUP_FREEZES: 1.5,
     SoakFault.CONNECTION_FLOOD: 3.0,
     SoakFault.CPU_CONTENTION: 3.0,
 }
--- a/violetstack/rehearsal/fleet/socket_audit.py
+++ b/violetstack/rehearsal/fleet/socket_audit.py
@@ -22,7 +22,7 @@
 DISCONNECT_GRACE_S = 0.1
 """An attempt may begin this long after its client has closed the connection."""
 DEADLINE_SLACK_S = 0.15
-"""An attempt's deadline may exceed what is left to the client by this much."""
+"""An attempt's deadline may exceed the remaining time of its request by this much."""
 LATE_STREAM_END_S = 1.0
 """The dispatcher passes on the end of a stream within this time after the host has sent it."""
 SILENT_STREAM_S = 5.0
@@ -87,7 +87,7 @@
         waited_until: When the client stopped waiting.
         resent_at: When it was sent again, as its idle connection was closed while it was in transit.
         paused_until: When its dispatcher's process continued, if it was stopped during the request.
-        excused: Why no answer is owed; empty otherwise.
+        excused: Why no answer is required; empty if one is.
         reads_slowly: Its client reads an answer later than it arrives.
         pipelined_after: The request on the same connection whose answer comes before this one's.
     """
@@ -173,7 +173,7 @@
     """All records of the sockets of one run.
 
     Attributes:
-        exchanges: By request id.
+        exchanges: The requests of the clients, by request id.
         drains: The times at which a drain was sent to a dispatcher, by dispatcher number and host id.
         process_starts: The times at which a dispatcher's processes were started, by its number.
         lag_s: The longest delay of the recording process, which is added to the tolerances.
@@ -206,18 +206,20 @@
             self._attempts[attempt.request_id].append(attempt)
 
     def violations(self) -> list[Violation]:
-        found: list[Violation] = []
+        violations: list[Violation] = []
         for request_id, attempts in self._attempts.items():
             if request_id not in self._evidence.exchanges:
-                found.append(Violation(Rule.UNKNOWN_REQUEST, request_id, f"arrived at {attempts[0].host}"))
+                violations.append(
+                    Violation(Rule.UNKNOWN_REQUEST, request_id, f"arrived at {attempts[0].host}")
+                )
         for exchange in self._evidence.exchanges.values():
             attempts = self._attempts.get(exchange.id, [])
-            found += self._check_answer(exchange, attempts)
-            found += self._check_stream(exchange, attempts)
-            found += self._check_forwarding(exchange, attempts)
-            found += self._check_repeats(exchange, attempts)
-            found += self._check_rejection(exchange, attempts)
-        return found + self._check_holds()
+            violations += self._check_answer(exchange, attempts)
+            violations += self._check_stream(exchange, attempts)
+            violations += self._check_forwarding(exchange, attempts)
+            violations += self._check_repeats(exchange, attempts)
+            violations += self._check_rejection(exchange, attempts)
+        return violations + self._check_holds()
 
     def _check_holds(self) -> list[Violation]:
         evidence = self._evidence
@@ -367,7 +369,7 @@
             yield Violation(Rule.AFTER_DRAIN, exchange.id, detail)
 
     def _drain_announced_at(self, dispatcher: int, host: str, at: float) -> float | None:
-        """Returns when the process that ran at time `at` first received the drain; None if it did not.
+        """Returns when the process that ran at time `at` was first sent the drain; None if it was not.
 
         A new process begins with the endpoint list of its configuration, which may be outdated.
         """
