--- a/violetstack/rehearsal/fleet/fault_injection.py
+++ b/violetstack/rehearsal/fleet/fault_injection.py
@@ -107,7 +107,7 @@
         for p in programs:
             p.end()
             self._processes.start(p)
-            await trio.sleep(0.001)  # a fork takes long enough to count as late
+            await trio.sleep(0.001)  # several forks without a pause would count as lag
 
     async def _restart(self, program: Program, within_s: float) -> None:
         """Wait for a process after SIGTERM, kill it if it has not ended in time, and start it again."""
